--- a/packages/bench/src/claims-measure.ts
+++ b/packages/bench/src/claims-measure.ts
@@ -24,9 +24,9 @@
   };
 }
 
-function createSeat(): requests.ClaimSeat {
+function createSeat(): requests.ClaimAcceptor {
   const never = () => new Promise<never>(() => {});
-  const seat = new requests.ClaimSeat({
+  const seat = new requests.ClaimAcceptor({
     daemonId: 'd1',
     incarnation: 1,
     clock: new schemas.VirtualClock(),
--- a/packages/bench/src/decisions-bench.ts
+++ b/packages/bench/src/decisions-bench.ts
@@ -63,7 +63,7 @@
     this.now += STEP_MS;
     const callId = `c${this.count}`;
     const placed = this.ledger.place(this.createNeed(callId), this.now);
-    this.ledger.noteBegun(callId, this.now + 1);
+    this.ledger.recordFirstEvent(callId, this.now + 1);
     this.live.push({ callId, engineId: placed?.engineId ?? 'e0' });
   }
 
@@ -76,10 +76,10 @@
   /** Chooses who takes a run over. */
   public chooseTaker(): void {
     const moved = this.live[Math.floor(this.random.next() * this.live.length)]!;
-    this.ledger.renewCopy(moved.callId, moved.engineId, [], this.now);
+    this.ledger.reassignBackup(moved.callId, moved.engineId, [], this.now);
   }
 
-  private createNeed(callId: string): routing.PlaceNeed {
+  private createNeed(callId: string): routing.PlacementSpec {
     const zone = Math.floor(this.random.next() * AVAILABILITY_ZONES.length);
     return {
       callId,
--- a/packages/bench/src/grants-bench.ts
+++ b/packages/bench/src/grants-bench.ts
@@ -45,7 +45,7 @@
     this.owner = new routing.PoolOwner({
       clock: this.clock,
       overflowRisk: 0.3,
-      roomTokens: 200_000,
+      capacityTokens: 200_000,
       getShare: () => ({ weight: 1, maxConcurrent: 1e9, maxQueued: 1e9 }),
     });
     this.owner.setUpstreams(
--- a/packages/bench/src/policy/oracle.ts
+++ b/packages/bench/src/policy/oracle.ts
@@ -2,15 +2,15 @@
 
 /** A distribution that never ends early: with the true length as limit, the future is known. */
 class KnownLength extends routing.LengthDistribution {
-  public override getChance(): number {
+  public override getSurvival(): number {
     return 1;
   }
 
-  public override fillChances(_from: number, _steps: readonly number[], out: Float64Array): void {
+  public override fillSurvival(_from: number, _steps: readonly number[], out: Float64Array): void {
     out.fill(1);
   }
 
-  public override getMeanRest(from: number, most: number): number {
+  public override getMeanRemaining(from: number, most: number): number {
     return Math.max(0, most - from);
   }
 }
--- a/packages/bench/src/policy/replay.ts
+++ b/packages/bench/src/policy/replay.ts
@@ -254,7 +254,7 @@
       seen.sentSince = 0;
     });
     if (!this.isOwnerAway) {
-      this.owner?.takeReport(engine.upstreamId, report);
+      this.owner?.applyReport(engine.upstreamId, report);
     }
   }
 
@@ -262,7 +262,7 @@
     this.owner = new routing.PoolOwner({
       clock: this.clock,
       overflowRisk: this.policy.overflowRisk ?? 0.05,
-      roomTokens: Infinity,
+      capacityTokens: Infinity,
       lengths: this.policy.isOracle ? new oracles.Oracle() : undefined,
       getShare: (name) => {
         const team = this.options.mix.teams.find((item) => item.name === name);
@@ -284,7 +284,7 @@
         const tokens = [...this.jobs.values()]
           .filter((job) => job.daemon === i && job.engine !== undefined)
           .map((job): [string, number] => [job.id, job.flight.tokens]);
-        this.clock.after(MESSAGE_MS, () => owner.progress({ daemonId: `d${i}`, tokens }));
+        this.clock.after(MESSAGE_MS, () => owner.applyProgress({ daemonId: `d${i}`, tokens }));
       }
     }
     this.clock.after(PROGRESS_MS, () => this.keepProgress());
--- a/packages/consensus/src/batch-frame.ts
+++ b/packages/consensus/src/batch-frame.ts
@@ -24,7 +24,7 @@
 }
 
 /** Every whole batch of a file, and the length up to which the file is whole. */
-export interface DecodedFile {
+export interface DecodedBatchFile {
   readonly batches: unknown[];
   readonly wholeBytes: number;
 }
@@ -34,7 +34,7 @@
  * since a batch is synced before any promise and before the next is written. Damage with a whole batch
  * behind it is something else: promises were made on what is lost, so the file is refused.
  */
-export function decodeFile(name: string, bytes: Buffer): DecodedFile {
+export function decodeBatchFile(name: string, bytes: Buffer): DecodedBatchFile {
   const batches: unknown[] = [];
   let at = 0;
   for (;;) {
--- a/packages/consensus/src/entry-log.ts
+++ b/packages/consensus/src/entry-log.ts
@@ -5,9 +5,9 @@
 /** The entries that a voter holds in memory, behind the snapshot that they follow. */
 export class EntryLog {
   private entries: types.Entry[];
-  private base: { index: number; term: number; seating: types.Seating };
+  private base: { index: number; term: number; seating: types.VoterSet };
 
-  public constructor(recovered: wal.Recovered, genesis: readonly types.VoterSeat[]) {
+  public constructor(recovered: wal.RecoveredState, genesis: readonly types.VoterSlot[]) {
     const { snapshot } = recovered;
     this.base = {
       index: snapshot?.lastIndex ?? 0,
@@ -67,12 +67,12 @@
   }
 
   /** Who votes now: a change counts from the moment it stands in the log. */
-  public getSeating(): types.Seating {
-    return this.getSeatingAt(this.lastIndex);
+  public getVoterSet(): types.VoterSet {
+    return this.getVoterSetAt(this.lastIndex);
   }
 
   /** Who votes as of an index. */
-  public getSeatingAt(index: number): types.Seating {
+  public getVoterSetAt(index: number): types.VoterSet {
     const changes = this.entries.filter((item) => item.kind === 'voters' && item.index <= index);
     const last = changes.at(-1);
     return last === undefined ? this.base.seating : readSeating(last.data);
@@ -80,23 +80,23 @@
 
   /** The majorities that count now. */
   public getQuorum(): quorums.Quorum {
-    return new quorums.Quorum(this.getSeating());
+    return new quorums.Quorum(this.getVoterSet());
   }
 
   /** Everyone who votes now. */
-  public getVoters(): readonly types.VoterSeat[] {
+  public getVoters(): readonly types.VoterSlot[] {
     return this.getQuorum().listVoters();
   }
 
   /** The index of the last change of voters in the log, or 0. */
-  public getLastChangeIndex(): number {
+  public getLastVoterChangeIndex(): number {
     return this.entries.filter((item) => item.kind === 'voters').at(-1)?.index ?? 0;
   }
 
   /** Drops the entries that a snapshot now stands for. */
   public compactTo(index: number): void {
     const term = this.findTerm(index) ?? this.base.term;
-    const seating = this.getSeatingAt(index);
+    const seating = this.getVoterSetAt(index);
     this.entries = this.entries.filter((item) => item.index > index);
     this.base = { index, term, seating };
   }
@@ -112,13 +112,13 @@
   }
 }
 
-function getSnapshotSeating({ voters, formerVoters }: wal.Snapshot): types.Seating {
+function getSnapshotSeating({ voters, formerVoters }: wal.Snapshot): types.VoterSet {
   return formerVoters === undefined
     ? { seats: [...voters] }
     : { seats: [...voters], former: [...formerVoters] };
 }
 
 /** Logs of earlier versions hold the bare list of voters. */
-function readSeating(data: unknown): types.Seating {
-  return Array.isArray(data) ? { seats: data as types.VoterSeat[] } : (data as types.Seating);
+function readSeating(data: unknown): types.VoterSet {
+  return Array.isArray(data) ? { seats: data as types.VoterSlot[] } : (data as types.VoterSet);
 }
--- a/packages/consensus/src/file-layer.ts
+++ b/packages/consensus/src/file-storage.ts
@@ -2,7 +2,7 @@
 import * as path from 'node:path';
 
 /** The few file operations that durable state needs; tests inject their own and crash between them. */
-export interface FileLayer {
+export interface FileStorage {
   read(name: string): Promise<Buffer | undefined>;
   /** Appends without syncing. */
   append(name: string, bytes: Buffer): Promise<void>;
@@ -15,7 +15,7 @@
 }
 
 /** Files below one data folder. */
-export class FolderFiles implements FileLayer {
+export class DirectoryStorage implements FileStorage {
   private readonly handles = new Map<string, fs.FileHandle>();
 
   public constructor(private readonly folder: string) {}
--- a/packages/consensus/src/genesis.ts
+++ b/packages/consensus/src/genesis.ts
@@ -3,7 +3,7 @@
 import type * as schemas from '@bramleyridge/schemas';
 
 import * as batchFrame from './batch-frame.js';
-import type * as fileLayer from './file-layer.js';
+import type * as fileLayer from './file-storage.js';
 import type * as types from './types.js';
 
 const GENESIS_FILE = 'identity';
@@ -14,35 +14,36 @@
 /** The number of this data folder, and the first voters, empty while they are not agreed. */
 export interface Genesis {
   readonly voterId: string;
-  readonly voters: readonly types.VoterSeat[];
+  readonly voters: readonly types.VoterSlot[];
   /** Who may found the log together; kept, since a host that restarts before it is founded still may. */
   readonly founders?: readonly string[];
 }
 
 /** What agreeing on the first voters needs. */
 export interface GenesisOptions {
-  readonly files: fileLayer.FileLayer;
+  readonly files: fileLayer.FileStorage;
   readonly identity: Genesis;
   readonly daemonId: string;
   /** Who founds the log; nobody on a host that can only join one that stands. */
   readonly founders: readonly string[];
   /** Whom to ask, as far as they are known now. */
   readonly listPeers: () => readonly string[];
-  readonly ask: AskGenesis;
+  readonly fetchGenesis: FetchGenesis;
   readonly clock: schemas.Clock;
   readonly signal: AbortSignal;
 }
 
 /** What a voter tells another that has no first voters yet. */
-export type AskGenesis = (peer: string) => Promise<Genesis>;
+export type FetchGenesis = (peer: string) => Promise<Genesis>;
 
 /** Reads the identity of a data folder, or gives an empty folder a new one. */
 export async function openIdentity(
-  files: fileLayer.FileLayer,
+  files: fileLayer.FileStorage,
   founders: readonly string[] = [],
 ): Promise<Genesis> {
   const bytes = await files.read(GENESIS_FILE);
-  const [known] = bytes === undefined ? [] : batchFrame.decodeFile(GENESIS_FILE, bytes).batches;
+  const [known] =
+    bytes === undefined ? [] : batchFrame.decodeBatchFile(GENESIS_FILE, bytes).batches;
   if (known !== undefined) {
     return known as Genesis;
   }
@@ -60,7 +61,16 @@
  * otherwise found a second log beside the first.
  */
 export async function agreeGenesis(options: GenesisOptions): Promise<Genesis> {
-  const { files, identity, daemonId, founders, listPeers, ask, clock, signal } = options;
+  const {
+    files,
+    identity,
+    daemonId,
+    founders,
+    listPeers,
+    fetchGenesis: ask,
+    clock,
+    signal,
+  } = options;
   if (identity.voters.length > 0) {
     return identity;
   }
@@ -86,10 +96,10 @@
   identity: Genesis,
   others: readonly string[],
   answers: readonly (Genesis | undefined)[],
-): types.VoterSeat[] | undefined {
+): types.VoterSlot[] | undefined {
   const seats = others.map((peer, i) => ({ daemonId: peer, voterId: answers[i]?.voterId }));
   const isWhole = seats.every((seat) => seat.voterId !== undefined);
   return isWhole
-    ? [{ daemonId, voterId: identity.voterId }, ...(seats as types.VoterSeat[])]
+    ? [{ daemonId, voterId: identity.voterId }, ...(seats as types.VoterSlot[])]
     : undefined;
 }
--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -1,13 +1,13 @@
 /** The replicated log of the voters. */
 export * from './batch-frame.js';
-export * from './election.js';
+export * from './run-elections.js';
 export * from './entry-log.js';
-export * from './file-layer.js';
+export * from './file-storage.js';
 export * from './genesis.js';
 export * from './leadership.js';
 export * from './quorum.js';
-export * from './seat-change.js';
+export * from './membership-change.js';
 export * from './types.js';
 export * from './voter.js';
 export * from './wal.js';
-export * from './seat-plan.js';
+export * from './plan-voter-slots.js';
--- a/packages/consensus/src/leadership.ts
+++ b/packages/consensus/src/leadership.ts
@@ -1,7 +1,7 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import * as replicators from './replicator.js';
-import * as seatChanges from './seat-change.js';
+import * as seatChanges from './membership-change.js';
 import type * as types from './types.js';
 import type * as voters from './voter.js';
 
@@ -15,13 +15,13 @@
 const RETIRE_ELECTIONS = 2;
 
 /** What a voter does while it leads, and what it knows of the others. */
-export class Leadership implements seatChanges.SeatLog {
+export class Leadership implements seatChanges.MembershipLog {
   public readonly term: number;
   public readonly appended = new schemas.ChangeSignal();
   public readonly heartbeatMs: number;
   public readonly startedAt: number;
   private readonly peers = new Map<string, replicators.Replicator>();
-  private readonly seatChange = new seatChanges.SeatChange(this);
+  private readonly seatChange = new seatChanges.MembershipChange(this);
   private active = true;
   private durableIndex = 0;
   private waiting: { entry: types.Entry; reject: (err: Error) => void }[] = [];
@@ -68,7 +68,7 @@
   }
 
   /** Whether everything of earlier terms is applied here, which a new leader can't tell at once. */
-  public isSettled(): boolean {
+  public hasCommittedInTerm(): boolean {
     return this.voter.entries.findTerm(this.voter.commitIndex) === this.term;
   }
 
@@ -97,12 +97,12 @@
   }
 
   /** Changes the voters as planned upon those of the moment; newcomers must be up and catch up first. */
-  public seat(getNext: seatChanges.GetNextSeats): Promise<void> {
+  public changeVoters(getNext: seatChanges.GetNextVoters): Promise<void> {
     return this.seatChange.change(getNext);
   }
 
   /** Seats a voter; an older folder of the same daemon loses its seat by that. */
-  public addVoter(seat: types.VoterSeat): Promise<void> {
+  public addVoter(seat: types.VoterSlot): Promise<void> {
     return this.seatChange.change((seats) =>
       seats.some((other) => other.voterId === seat.voterId)
         ? undefined
@@ -116,7 +116,7 @@
   }
 
   /** Puts who votes into the log. */
-  public appendSeating(seating: types.Seating): types.Entry {
+  public appendVoterSet(seating: types.VoterSet): types.Entry {
     const entry = this.append('voters', seating);
     this.syncPeers();
     return entry;
@@ -133,7 +133,7 @@
   }
 
   /** Replicates to a host, also to one that has no seat yet. */
-  public startPeer(seat: types.VoterSeat): replicators.Replicator {
+  public startPeer(seat: types.VoterSlot): replicators.Replicator {
     const known = this.peers.get(seat.voterId);
     if (known?.isRunning() === true && !known.isRetiring()) {
       return known;
@@ -149,7 +149,7 @@
   public dropLearners(): void {
     const voters = this.voter.entries.getVoters();
     [...this.peers.values()]
-      .filter((peer) => !voters.some((seat) => seat.voterId === peer.seat.voterId))
+      .filter((peer) => !voters.some((seat) => seat.voterId === peer.slot.voterId))
       .forEach((peer) => this.drop(peer));
   }
 
@@ -157,7 +157,7 @@
   public advanceCommit(): void {
     const index = this.voter.entries
       .getQuorum()
-      .getReached((seat) => (this.isOwn(seat) ? this.durableIndex : this.getMatch(seat)));
+      .getReachedValue((seat) => (this.isOwn(seat) ? this.durableIndex : this.getMatch(seat)));
     if (
       this.active &&
       index > this.voter.commitIndex &&
@@ -177,39 +177,39 @@
     const now = this.voter.options.clock.now();
     const running = [...this.peers.values()].filter((peer) => !peer.isRetiring());
     return running.map((peer) => ({
-      daemonId: peer.seat.daemonId,
-      match: peer.match,
+      daemonId: peer.slot.daemonId,
+      match: peer.matchIndex,
       silentMs: Math.round(now - peer.ackedAt),
     }));
   }
 
   /** For how long a voter has not held everything that was committed, in milliseconds. */
-  public getSilentMs(seat: types.VoterSeat): number {
-    const since = this.peers.get(seat.voterId)?.heldAt ?? -Infinity;
+  public getLagMs(seat: types.VoterSlot): number {
+    const since = this.peers.get(seat.voterId)?.caughtUpAt ?? -Infinity;
     const now = this.voter.options.clock.now();
     return this.isOwn(seat) ? 0 : now - Math.max(since, this.startedAt);
   }
 
   /** Whether a voter has held all that was committed since this leadership began. */
-  public hasHeld(seat: types.VoterSeat): boolean {
-    return this.isOwn(seat) || (this.peers.get(seat.voterId)?.heldAt ?? -Infinity) > -Infinity;
+  public hasCaughtUp(seat: types.VoterSlot): boolean {
+    return this.isOwn(seat) || (this.peers.get(seat.voterId)?.caughtUpAt ?? -Infinity) > -Infinity;
   }
 
   /** The voters that do not answer, or hold nothing new. */
-  public listSilentSeats(): types.VoterSeat[] {
+  public listLaggingVoters(): types.VoterSlot[] {
     return this.voter.entries.getVoters().filter((seat) => !this.isHeard(seat));
   }
 
   /** How many more voters may be lost before the log stands still. */
-  public countLossesBorne(): number {
-    return this.voter.entries.getQuorum().countLossesBorne((seat) => this.isHeard(seat));
+  public countTolerableLosses(): number {
+    return this.voter.entries.getQuorum().countTolerableLosses((seat) => this.isHeard(seat));
   }
 
-  private isHeard(seat: types.VoterSeat): boolean {
-    return this.getSilentMs(seat) <= SILENT_ELECTIONS * this.voter.options.timings.electionMs;
+  private isHeard(seat: types.VoterSlot): boolean {
+    return this.getLagMs(seat) <= SILENT_ELECTIONS * this.voter.options.timings.electionMs;
   }
 
-  private isOwn(seat: types.VoterSeat): boolean {
+  private isOwn(seat: types.VoterSlot): boolean {
     return seat.voterId === this.voter.voterId;
   }
 
@@ -226,7 +226,7 @@
     const index = this.voter.entries.lastIndex + 1;
     const entry: types.Entry = { index, term: this.term, kind, data };
     this.voter.entries.append([entry]);
-    this.voter.noteSeats();
+    this.voter.logVoterSet();
     this.appended.notify();
     this.voter.persist({ kind: 'entries', entries: [entry] }).then(
       () => {
@@ -260,21 +260,21 @@
 
   private drop(peer: replicators.Replicator): void {
     if (!peer.isRunning()) {
-      this.peers.delete(peer.seat.voterId);
+      this.peers.delete(peer.slot.voterId);
       return;
     }
     peer.retire(RETIRE_ELECTIONS * this.voter.options.timings.electionMs);
   }
 
-  private getMatch(seat: types.VoterSeat): number {
-    return this.peers.get(seat.voterId)?.match ?? 0;
+  private getMatch(seat: types.VoterSlot): number {
+    return this.peers.get(seat.voterId)?.matchIndex ?? 0;
   }
 
   private getMajorityAckedAt(): number {
     const now = this.voter.options.clock.now();
     return this.voter.entries
       .getQuorum()
-      .getReached((seat) =>
+      .getReachedValue((seat) =>
         this.isOwn(seat) ? now : (this.peers.get(seat.voterId)?.ackedAt ?? -Infinity),
       );
   }
@@ -295,7 +295,7 @@
   }
 
   private retireIfUnseated(): void {
-    if (this.active && !this.voter.isSeated()) {
+    if (this.active && !this.voter.hasSlot()) {
       this.voter.leadership = undefined;
       this.stop('seat was taken away');
     }
--- a/packages/consensus/src/seat-change.ts
+++ b/packages/consensus/src/membership-change.ts
@@ -11,25 +11,25 @@
 const CATCH_UP_ELECTIONS = 10;
 
 /** What a change of seats needs of the leadership under which it is made. */
-export interface SeatLog {
+export interface MembershipLog {
   readonly voter: voters.Voter;
   readonly heartbeatMs: number;
   isActive(): boolean;
   /** Resolves once everything before is applied here and this voter still leads. */
   barrier(): Promise<void>;
   /** Puts who votes into the log, in force from then on, and replicates to everyone who does. */
-  appendSeating(seating: types.Seating): types.Entry;
+  appendVoterSet(seating: types.VoterSet): types.Entry;
   awaitCommitted(index: number): Promise<void>;
   /** Replicates to a host that has no seat yet. */
-  startPeer(seat: types.VoterSeat): replicators.Replicator;
+  startPeer(seat: types.VoterSlot): replicators.Replicator;
   /** Replicates no more to hosts that have no seat. */
   dropLearners(): void;
 }
 
 /** Who should vote, given who does; nothing for no change. */
-export type GetNextSeats = (
-  seats: readonly types.VoterSeat[],
-) => readonly types.VoterSeat[] | undefined;
+export type GetNextVoters = (
+  seats: readonly types.VoterSlot[],
+) => readonly types.VoterSlot[] | undefined;
 
 /**
  * Changes who votes, in two entries: from the first on the former and the next voters must both agree, each by a
@@ -38,26 +38,26 @@
  * without it before. Here a change never needs a voter that was not needed before or will be after it: of losses that are
  * borne before and after it, placed at every millisecond of it, none stops the log.
  */
-export class SeatChange {
+export class MembershipChange {
   private tail: Promise<void> = Promise.resolve();
 
-  public constructor(private readonly log: SeatLog) {}
+  public constructor(private readonly log: MembershipLog) {}
 
   /**
    * Changes the voters to those that `getNext` names, or leaves them when it names none. Changes are made one after the
    * other, and each is decided when its turn has come: a plan made upon seats that have changed since would undo that.
    */
-  public change(getNext: GetNextSeats): Promise<void> {
+  public change(getNext: GetNextVoters): Promise<void> {
     return this.enqueue(async () => {
       await this.finishNow();
-      const { seats } = this.log.voter.entries.getSeating();
+      const { seats } = this.log.voter.entries.getVoterSet();
       const next = getNext(seats);
       if (next === undefined || isSameSet(seats, next)) {
         return;
       }
       await this.bringUp(next.filter((seat) => !isIn(seats, seat)));
       await this.log.barrier();
-      this.log.appendSeating({ seats: [...next], former: seats });
+      this.log.appendVoterSet({ seats: [...next], former: seats });
       await this.finishNow();
     });
   }
@@ -75,17 +75,17 @@
 
   private async finishNow(): Promise<void> {
     const { entries } = this.log.voter;
-    const { seats, former } = entries.getSeating();
+    const { seats, former } = entries.getVoterSet();
     if (former === undefined) {
       return;
     }
-    const index = entries.getLastChangeIndex();
+    const index = entries.getLastVoterChangeIndex();
     await this.log.awaitCommitted(index);
     const newcomers = seats.filter((seat) => !isIn(former, seat));
     // A newcomer counts alone with the others only when its disk says that it is one. Else it would not know that it
     // may vote, and if the leader went now, the others could not elect one with it.
-    const isHeld = await this.awaitAll(newcomers, (peer) => peer.match >= index);
-    const last = this.log.appendSeating({ seats: isHeld ? seats : former });
+    const isHeld = await this.awaitAll(newcomers, (peer) => peer.matchIndex >= index);
+    const last = this.log.appendVoterSet({ seats: isHeld ? seats : former });
     await this.log.awaitCommitted(last.index);
     if (!isHeld) {
       throw this.createCatchUpError(newcomers);
@@ -93,8 +93,8 @@
   }
 
   /** Replicates to newcomers until they hold everything that is committed. */
-  private async bringUp(newcomers: readonly types.VoterSeat[]): Promise<void> {
-    if (!(await this.awaitAll(newcomers, (peer) => peer.heldAt > -Infinity))) {
+  private async bringUp(newcomers: readonly types.VoterSlot[]): Promise<void> {
+    if (!(await this.awaitAll(newcomers, (peer) => peer.caughtUpAt > -Infinity))) {
       this.log.dropLearners();
       throw this.createCatchUpError(newcomers);
     }
@@ -102,7 +102,7 @@
 
   /** Whether all of them get there; a newcomer that dies on the way must not hold up the seating of others for ever. */
   private async awaitAll(
-    newcomers: readonly types.VoterSeat[],
+    newcomers: readonly types.VoterSlot[],
     isThere: (peer: replicators.Replicator) => boolean,
   ): Promise<boolean> {
     const { clock, timings } = this.log.voter.options;
@@ -124,16 +124,16 @@
     return true;
   }
 
-  private createCatchUpError(newcomers: readonly types.VoterSeat[]): schemas.StepError {
+  private createCatchUpError(newcomers: readonly types.VoterSlot[]): schemas.StepError {
     const peer = newcomers.map((seat) => seat.daemonId).join();
     return new schemas.StepError({ id: 'linkClosed', step: 'catch-up', peer });
   }
 }
 
-function isIn(seats: readonly types.VoterSeat[], { voterId }: types.VoterSeat): boolean {
+function isIn(seats: readonly types.VoterSlot[], { voterId }: types.VoterSlot): boolean {
   return seats.some((seat) => seat.voterId === voterId);
 }
 
-function isSameSet(some: readonly types.VoterSeat[], others: readonly types.VoterSeat[]): boolean {
+function isSameSet(some: readonly types.VoterSlot[], others: readonly types.VoterSlot[]): boolean {
   return some.length === others.length && some.every((seat) => isIn(others, seat));
 }
--- a/packages/consensus/src/seat-plan.ts
+++ b/packages/consensus/src/plan-voter-slots.ts
@@ -1,7 +1,7 @@
 import type * as types from './types.js';
 
 /** A host that could hold a seat, as the leader hears of it. */
-export interface SeatCandidate extends types.VoterSeat {
+export interface VoterSlotCandidate extends types.VoterSlot {
   /** How long ago it was last heard, in milliseconds. */
   readonly silentMs: number;
   readonly availabilityZone?: string | undefined;
@@ -10,20 +10,20 @@
 }
 
 /** A seat, with how its holder does. */
-export interface HeldSeat extends types.VoterSeat {
+export interface OccupiedVoterSlot extends types.VoterSlot {
   /** For how long it has not held everything that was committed, in milliseconds. */
   readonly silentMs: number;
 }
 
 /** What is known when the seats are looked over. */
-export interface SeatFacts {
-  readonly seats: readonly HeldSeat[];
+export interface VoterSlotPlanInput {
+  readonly slots: readonly OccupiedVoterSlot[];
   /** Every host with a disk that was ever heard, the leader's own included. */
-  readonly candidates: readonly SeatCandidate[];
+  readonly candidates: readonly VoterSlotCandidate[];
   /** How many seats there should be: twice the losses to be borne, and one. */
-  readonly wanted: number;
+  readonly slotCount: number;
   /** How long a holder may be silent before another takes its seat, in milliseconds. */
-  readonly patienceMs: number;
+  readonly replaceAfterMs: number;
   /** Within which a host counts as live, in milliseconds. */
   readonly liveMs: number;
 }
@@ -34,24 +34,24 @@
  * than the losses to be borne lie in one availability zone while there are hosts elsewhere, so that a lost zone is
  * borne too.
  */
-export function planSeats(facts: SeatFacts): readonly types.VoterSeat[] | undefined {
+export function planVoterSlots(facts: VoterSlotPlanInput): readonly types.VoterSlot[] | undefined {
   const plan = new SeatPlan(facts);
   const next = plan.choose();
   const isSame =
-    next.length === facts.seats.length &&
-    next.every((seat) => facts.seats.some((other) => other.voterId === seat.voterId));
+    next.length === facts.slots.length &&
+    next.every((seat) => facts.slots.some((other) => other.voterId === seat.voterId));
   return isSame ? undefined : next.map(({ daemonId, voterId }) => ({ daemonId, voterId }));
 }
 
 class SeatPlan {
-  private readonly chosen: types.VoterSeat[] = [];
-  private readonly spares: readonly SeatCandidate[];
-  private readonly staying: readonly HeldSeat[];
+  private readonly chosen: types.VoterSlot[] = [];
+  private readonly spares: readonly VoterSlotCandidate[];
+  private readonly staying: readonly OccupiedVoterSlot[];
   /** Holders that may come back, the last heard first: better than an empty seat, worse than a live host. */
-  private readonly away: readonly HeldSeat[];
+  private readonly away: readonly OccupiedVoterSlot[];
 
-  public constructor(private readonly facts: SeatFacts) {
-    const { seats } = facts;
+  public constructor(private readonly facts: VoterSlotPlanInput) {
+    const { slots: seats } = facts;
     this.spares = this.listSpares();
     // A folder that was lost does not come back, so its seat is not kept for it.
     const kept = seats.filter(({ daemonId }) => !this.isRemade(daemonId));
@@ -59,9 +59,9 @@
     this.away = kept.filter((seat) => this.isAway(seat)).sort((a, b) => a.silentMs - b.silentMs);
   }
 
-  public choose(): readonly types.VoterSeat[] {
+  public choose(): readonly types.VoterSlot[] {
     const { facts, spares, staying } = this;
-    const perZone = Math.floor(facts.wanted / 2);
+    const perZone = Math.floor(facts.slotCount / 2);
     this.take(staying, perZone);
     this.take(spares, perZone);
     this.take(staying, Infinity);
@@ -72,9 +72,9 @@
   }
 
   /** Takes whoever is not chosen yet, as long as there are seats and no zone has more than it should. */
-  private take(hosts: readonly types.VoterSeat[], perZone: number): void {
+  private take(hosts: readonly types.VoterSlot[], perZone: number): void {
     hosts.forEach((host) => {
-      const isFull = this.chosen.length >= this.facts.wanted;
+      const isFull = this.chosen.length >= this.facts.slotCount;
       if (!isFull && !this.chosen.includes(host) && this.countIn(host) < perZone) {
         this.chosen.push(host);
       }
@@ -96,20 +96,20 @@
     }
   }
 
-  private countIn(host: types.VoterSeat): number {
+  private countIn(host: types.VoterSlot): number {
     const zone = this.findZone(host);
     const inZone = this.chosen.filter((other) => this.findZone(other) === zone);
     return zone === undefined ? 0 : inZone.length;
   }
 
   /** Live hosts without a seat; those that came back with an empty disk first, whose former seat is lost for sure. */
-  private listSpares(): SeatCandidate[] {
-    const { candidates, liveMs, seats } = this.facts;
-    const isSeated = (host: types.VoterSeat) => seats.some((seat) => seat.voterId === host.voterId);
+  private listSpares(): VoterSlotCandidate[] {
+    const { candidates, liveMs, slots: seats } = this.facts;
+    const isSeated = (host: types.VoterSlot) => seats.some((seat) => seat.voterId === host.voterId);
     const spares = candidates.filter(
       (host) => host.silentMs <= liveMs && host.isLeaving !== true && !isSeated(host),
     );
-    const hadSeat = (host: types.VoterSeat) =>
+    const hadSeat = (host: types.VoterSlot) =>
       Number(seats.some((seat) => seat.daemonId === host.daemonId));
     return spares.sort((a, b) => hadSeat(b) - hadSeat(a));
   }
@@ -118,15 +118,15 @@
     return this.spares.some((host) => host.daemonId === daemonId);
   }
 
-  private isAway(seat: HeldSeat): boolean {
-    return seat.silentMs > this.facts.patienceMs || this.findHost(seat)?.isLeaving === true;
+  private isAway(seat: OccupiedVoterSlot): boolean {
+    return seat.silentMs > this.facts.replaceAfterMs || this.findHost(seat)?.isLeaving === true;
   }
 
-  private findZone(host: types.VoterSeat): string | undefined {
+  private findZone(host: types.VoterSlot): string | undefined {
     return this.findHost(host)?.availabilityZone;
   }
 
-  private findHost({ voterId }: types.VoterSeat): SeatCandidate | undefined {
+  private findHost({ voterId }: types.VoterSlot): VoterSlotCandidate | undefined {
     return this.facts.candidates.find((host) => host.voterId === voterId);
   }
 }
--- a/packages/consensus/src/quorum.ts
+++ b/packages/consensus/src/quorum.ts
@@ -2,25 +2,25 @@
 
 /** Counts votes and acknowledgments by majorities: of one group of voters, or of two while seats change hands. */
 export class Quorum {
-  private readonly groups: readonly (readonly types.VoterSeat[])[];
+  private readonly groups: readonly (readonly types.VoterSlot[])[];
 
-  public constructor({ seats, former }: types.Seating) {
+  public constructor({ seats, former }: types.VoterSet) {
     this.groups = former === undefined ? [seats] : [seats, former];
   }
 
   /** Everyone who votes, each once. */
-  public listVoters(): types.VoterSeat[] {
+  public listVoters(): types.VoterSlot[] {
     const byId = new Map(this.groups.flat().map((seat) => [seat.voterId, seat]));
     return [...byId.values()];
   }
 
   /** Whether a majority of each group is for it. */
-  public isReached(isFor: (seat: types.VoterSeat) => boolean): boolean {
+  public isReached(isFor: (seat: types.VoterSlot) => boolean): boolean {
     return this.groups.every((group) => group.filter(isFor).length >= getMajority(group));
   }
 
   /** The highest value that a majority of each group has reached. */
-  public getReached(getValue: (seat: types.VoterSeat) => number): number {
+  public getReachedValue(getValue: (seat: types.VoterSlot) => number): number {
     const reached = this.groups.map((group) => {
       const values = group.map(getValue).sort((a, b) => b - a);
       return values[getMajority(group) - 1] ?? -Infinity;
@@ -29,12 +29,12 @@
   }
 
   /** How many voters may still be lost, whichever they are, before no majority is left; below 0 when none is. */
-  public countLossesBorne(isHeard: (seat: types.VoterSeat) => boolean): number {
+  public countTolerableLosses(isHeard: (seat: types.VoterSlot) => boolean): number {
     const rest = this.groups.map((group) => group.filter(isHeard).length - getMajority(group));
     return Math.min(...rest);
   }
 }
 
-function getMajority(group: readonly types.VoterSeat[]): number {
+function getMajority(group: readonly types.VoterSlot[]): number {
   return Math.floor(group.length / 2) + 1;
 }
--- a/packages/consensus/src/replicator.ts
+++ b/packages/consensus/src/replicator.ts
@@ -6,17 +6,17 @@
 
 /** The leader's task for one other voter: brings it up to the leader's log and keeps it there. */
 export class Replicator {
-  public match = 0;
+  public matchIndex = 0;
   /** When the last message that was answered had been sent, on the leader's clock. */
   public ackedAt = -Infinity;
   /** When a message was sent upon which it held everything that was committed then, on the leader's clock. */
-  public heldAt = -Infinity;
+  public caughtUpAt = -Infinity;
   private next: number;
   private stopped = false;
   private retiresAt = Infinity;
 
   public constructor(
-    public readonly seat: types.VoterSeat,
+    public readonly slot: types.VoterSlot,
     private readonly leadership: leaderships.Leadership,
   ) {
     this.next = leadership.voter.entries.lastIndex + 1;
@@ -79,9 +79,9 @@
     const prevIndex = this.next - 1;
     const prevTerm = voter.entries.findTerm(prevIndex);
     if (prevTerm === undefined || prevIndex < voter.entries.baseIndex) {
-      return transport.snapshot(this.seat.daemonId, this.createSnapshotReq());
+      return transport.snapshot(this.slot.daemonId, this.createSnapshotReq());
     }
-    return transport.append(this.seat.daemonId, {
+    return transport.append(this.slot.daemonId, {
       term,
       leader: voter.daemonId,
       prevIndex,
@@ -94,7 +94,7 @@
   private createSnapshotReq(): types.SnapshotReq {
     const { voter, term } = this.leadership;
     const lastIndex = voter.appliedIndex;
-    const seating = voter.entries.getSeatingAt(lastIndex);
+    const seating = voter.entries.getVoterSetAt(lastIndex);
     return {
       term,
       leader: voter.daemonId,
@@ -109,15 +109,16 @@
   private take(res: types.AppendRes, sentAt: number, committed: number): boolean {
     // A daemon that lost its disk answers at the old address with another number. What the old folder
     // promised is gone, so the answer must not count towards a majority.
-    if (res.voterId !== this.seat.voterId) {
+    if (res.voterId !== this.slot.voterId) {
       return false;
     }
     this.ackedAt = Math.max(this.ackedAt, sentAt);
     if (res.ok) {
-      this.match = Math.max(this.match, res.match);
+      this.matchIndex = Math.max(this.matchIndex, res.match);
       this.next = Math.max(this.next, res.match + 1);
       // One that is several messages behind answers too, but does not hold everything yet.
-      this.heldAt = res.match >= committed ? Math.max(this.heldAt, sentAt) : this.heldAt;
+      this.caughtUpAt =
+        res.match >= committed ? Math.max(this.caughtUpAt, sentAt) : this.caughtUpAt;
       this.leadership.advanceCommit();
     } else {
       this.next = Math.max(1, res.hint + 1);
--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/run-elections.ts
@@ -17,9 +17,9 @@
   let toldAt = -Infinity;
   while (!voter.stopped && !signal.aborted) {
     // Random timeouts keep two voters from standing against each other again and again.
-    const timeoutMs = voter.getSilenceMs() * (1 + random());
-    const silentMs = clock.now() - voter.heardAt;
-    if (voter.isLeader() || !voter.isSeated() || silentMs < timeoutMs) {
+    const timeoutMs = voter.getLeaderTimeoutMs() * (1 + random());
+    const silentMs = clock.now() - voter.lastLeaderContactAt;
+    if (voter.isLeader() || !voter.hasSlot() || silentMs < timeoutMs) {
       const restMs = voter.isLeader() ? timings.electionMs : timeoutMs - silentMs;
       await clock.sleep(Math.max(restMs, timings.electionMs / 10), signal).catch(() => {});
       continue;
@@ -58,7 +58,7 @@
   await voter.adoptTerm(term, voter.voterId);
   const poll = await collectVotes(voter, term, false);
   if (poll.isWon && voter.term === term && !voter.stopped) {
-    voter.lead();
+    voter.becomeLeader();
   }
   return poll;
 }
@@ -97,7 +97,7 @@
 
 async function askVote(
   voter: voters.Voter,
-  seat: types.VoterSeat,
+  seat: types.VoterSlot,
   req: types.VoteReq,
 ): Promise<boolean> {
   try {
--- a/packages/consensus/src/types.ts
+++ b/packages/consensus/src/types.ts
@@ -1,19 +1,19 @@
 import * as z from 'zod';
 
 /** A voter: the daemon, and the number that its data folder was given when it was made. */
-export const voterSeat = z.object({ daemonId: z.string(), voterId: z.string() });
+export const voterSlot = z.object({ daemonId: z.string(), voterId: z.string() });
 
 /** A voter. */
-export type VoterSeat = z.infer<typeof voterSeat>;
+export type VoterSlot = z.infer<typeof voterSlot>;
 
 /** Who votes. While seats change hands the former voters must agree too, by a majority of their own. */
-export const seating = z.object({
-  seats: z.array(voterSeat),
-  former: z.array(voterSeat).optional(),
+export const voterSet = z.object({
+  seats: z.array(voterSlot),
+  former: z.array(voterSlot).optional(),
 });
 
 /** Who votes. */
-export type Seating = z.infer<typeof seating>;
+export type VoterSet = z.infer<typeof voterSet>;
 
 /** One entry of the replicated log. */
 export const entry = z.object({
@@ -30,7 +30,7 @@
 export const voteReq = z.object({
   pre: z.boolean(),
   term: z.int(),
-  candidate: voterSeat,
+  candidate: voterSlot,
   lastIndex: z.int(),
   lastTerm: z.int(),
 });
@@ -63,9 +63,9 @@
   leader: z.string(),
   lastIndex: z.int(),
   lastTerm: z.int(),
-  voters: z.array(voterSeat),
+  voters: z.array(voterSlot),
   /** Set while seats change hands. */
-  formerVoters: z.array(voterSeat).optional(),
+  formerVoters: z.array(voterSlot).optional(),
   state: z.unknown(),
 });
 
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -37,7 +37,7 @@
   public commitIndex: number;
   public appliedIndex: number;
   public stopped = false;
-  public heardAt: number;
+  public lastLeaderContactAt: number;
   /** Whether it has heard a leader or helped to elect one since it started. */
   private hasHeard = false;
   /** When everything that the leader then called committed was last applied here. */
@@ -49,7 +49,7 @@
 
   public constructor(
     public readonly options: VoterOptions,
-    recovered: wals.Recovered,
+    recovered: wals.RecoveredState,
   ) {
     this.entries = new entryLogs.EntryLog(recovered, options.genesis.voters);
     this.term = recovered.term;
@@ -62,7 +62,7 @@
     // A restarted voter has forgotten when it last heard the leader. If it voted at once, a new leader
     // could rise while the old one still holds its lease. What it answered before it went down lends a lease
     // for `leaseMs` at most, so waiting that long is enough.
-    this.heardAt = options.clock.now();
+    this.lastLeaderContactAt = options.clock.now();
   }
 
   /** Recovers the durable state and makes the voter. */
@@ -79,7 +79,7 @@
   }
 
   /** Whether this data folder holds a seat; a daemon that lost its disk has a new number and holds none. */
-  public isSeated(): boolean {
+  public hasSlot(): boolean {
     return this.entries.getVoters().some((seat) => seat.voterId === this.voterId);
   }
 
@@ -91,7 +91,7 @@
   /** Gives or refuses a vote. */
   public async handleVote(req: types.VoteReq): Promise<types.VoteRes> {
     const refuse = () => ({ term: this.term, granted: false, voterId: this.voterId });
-    if (this.stopped || !this.isSeated() || !this.isUpToDate(req)) {
+    if (this.stopped || !this.hasSlot() || !this.isUpToDate(req)) {
       return refuse();
     }
     // A leader that is being heard keeps its lease: nobody is helped to replace it.
@@ -132,7 +132,7 @@
       return this.createAppendRes(false, this.commitIndex);
     }
     this.entries.append(fresh);
-    this.noteSeats();
+    this.logVoterSet();
     const match = req.prevIndex + req.entries.length;
     // Syncing even when nothing is new: an earlier copy of these entries may still be on its way to disk.
     await this.persist(...(fresh.length > 0 ? [{ kind: 'entries', entries: fresh } as const] : []));
@@ -157,7 +157,7 @@
     }
     const snapshot: wals.Snapshot = req;
     this.entries.resetTo(snapshot);
-    this.noteSeats();
+    this.logVoterSet();
     this.options.machine.restore(req.state);
     this.commitIndex = req.lastIndex;
     this.appliedIndex = req.lastIndex;
@@ -204,8 +204,8 @@
   }
 
   /** Logs who votes when that has changed in this log: of a change that was cut short only this line tells how far it came. */
-  public noteSeats(): void {
-    const seating = this.entries.getSeating();
+  public logVoterSet(): void {
+    const seating = this.entries.getVoterSet();
     const seats = seating.seats.map((seat) => seat.daemonId);
     const former = seating.former?.map((seat) => seat.daemonId);
     const noted = JSON.stringify([seating.seats, seating.former]);
@@ -214,7 +214,7 @@
     }
     this.notedSeats = noted;
     const { lastIndex: index } = this.entries;
-    this.options.log.info({ event: 'seats', seats, former, index, isSeated: this.isSeated() });
+    this.options.log.info({ event: 'seats', seats, former, index, isSeated: this.hasSlot() });
   }
 
   /** Resolves with the result of an entry when it is applied here. */
@@ -233,7 +233,7 @@
   }
 
   /** Becomes the leader of the present term. */
-  public lead(): void {
+  public becomeLeader(): void {
     this.leader = this.daemonId;
     this.leadership = new leaderships.Leadership(this);
     this.leadership.start();
@@ -252,7 +252,7 @@
   }
 
   private noteHeard(): void {
-    this.heardAt = this.options.clock.now();
+    this.lastLeaderContactAt = this.options.clock.now();
     this.hasHeard = true;
   }
 
@@ -261,13 +261,13 @@
    * started cannot be there because of this voter beyond its lease. Where all voters start at once, as after a
    * power loss, no host serves before they agree: 0.4 s less at 600 and 400 ms.
    */
-  public getSilenceMs(): number {
+  public getLeaderTimeoutMs(): number {
     const { electionMs, leaseMs } = this.options.timings;
     return this.hasHeard ? electionMs : leaseMs;
   }
 
   private isLeaderHeard(): boolean {
-    return this.options.clock.now() - this.heardAt < this.getSilenceMs();
+    return this.options.clock.now() - this.lastLeaderContactAt < this.getLeaderTimeoutMs();
   }
 
   private isUpToDate(req: types.VoteReq): boolean {
@@ -299,7 +299,7 @@
     }
     this.compacting = true;
     const lastIndex = this.appliedIndex;
-    const seating = this.entries.getSeatingAt(lastIndex);
+    const seating = this.entries.getVoterSetAt(lastIndex);
     const snapshot: wals.Snapshot = {
       lastIndex,
       lastTerm: this.entries.findTerm(lastIndex) ?? 0,
--- a/packages/consensus/src/wal.ts
+++ b/packages/consensus/src/wal.ts
@@ -1,7 +1,7 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import * as batchFrame from './batch-frame.js';
-import type * as fileLayer from './file-layer.js';
+import type * as fileLayer from './file-storage.js';
 import type * as types from './types.js';
 
 const WAL_FILE = 'log.wal';
@@ -16,14 +16,14 @@
 export interface Snapshot {
   readonly lastIndex: number;
   readonly lastTerm: number;
-  readonly voters: readonly types.VoterSeat[];
+  readonly voters: readonly types.VoterSlot[];
   /** Set while seats change hands. */
-  readonly formerVoters?: readonly types.VoterSeat[] | undefined;
+  readonly formerVoters?: readonly types.VoterSlot[] | undefined;
   readonly state: unknown;
 }
 
 /** What a voter remembers after a restart. */
-export interface Recovered {
+export interface RecoveredState {
   term: number;
   votedFor: string | null;
   snapshot: Snapshot | undefined;
@@ -37,17 +37,17 @@
   private tail: Promise<void> = Promise.resolve();
   private failed: Error | undefined;
 
-  public constructor(private readonly files: fileLayer.FileLayer) {}
+  public constructor(private readonly files: fileLayer.FileStorage) {}
 
   /** Reads what was kept, and cuts off a tail that a crash left torn. */
-  public async recover(): Promise<Recovered> {
-    const found: Recovered = { term: 0, votedFor: null, snapshot: undefined, entries: [] };
+  public async recover(): Promise<RecoveredState> {
+    const found: RecoveredState = { term: 0, votedFor: null, snapshot: undefined, entries: [] };
     const snapshotBytes = await this.files.read(SNAPSHOT_FILE);
     if (snapshotBytes !== undefined) {
       found.snapshot = readSnapshot(snapshotBytes);
     }
     const bytes = (await this.files.read(WAL_FILE)) ?? Buffer.alloc(0);
-    const { batches, wholeBytes } = batchFrame.decodeFile(WAL_FILE, bytes);
+    const { batches, wholeBytes } = batchFrame.decodeBatchFile(WAL_FILE, bytes);
     if (wholeBytes < bytes.length) {
       await this.files.truncate(WAL_FILE, wholeBytes);
     }
@@ -121,7 +121,7 @@
 }
 
 function readSnapshot(bytes: Buffer): Snapshot {
-  const [snapshot] = batchFrame.decodeFile(SNAPSHOT_FILE, bytes).batches;
+  const [snapshot] = batchFrame.decodeBatchFile(SNAPSHOT_FILE, bytes).batches;
   if (snapshot === undefined) {
     throw new schemas.StepError({
       id: 'chainBroken',
@@ -132,7 +132,7 @@
   return snapshot as Snapshot;
 }
 
-function replay(found: Recovered, record: WalRecord): void {
+function replay(found: RecoveredState, record: WalRecord): void {
   if (record.kind === 'vote') {
     found.term = record.term;
     found.votedFor = record.votedFor;
--- a/packages/consensus/tests/genesis.test.ts
+++ b/packages/consensus/tests/genesis.test.ts
@@ -25,7 +25,7 @@
         daemonId,
         founders: identity.founders ?? [],
         listPeers: () => [...hosts.keys()],
-        ask: async (peer) => consensus.openIdentity(hosts.get(peer)!.files),
+        fetchGenesis: async (peer) => consensus.openIdentity(hosts.get(peer)!.files),
         clock,
         signal: new AbortController().signal,
       });
--- a/packages/consensus/tests/history.test.ts
+++ b/packages/consensus/tests/history.test.ts
@@ -9,7 +9,7 @@
  * until a command is accepted: with two of five gone for good all three that are left must vote for one of them, over
  * links that lose messages, which took 7 terms and 2.4 s in the schedule below.
  */
-const SETTLE: schedules.SettleOptions = { patienceMs: 600, settleSteps: 100 };
+const SETTLE: schedules.SettleOptions = { replaceAfterMs: 600, settleSteps: 100 };
 
 const REPLACE_FIRST: schedules.Fault = { kind: 'replace', at: 0 };
 
@@ -70,8 +70,8 @@
     async (seed, faults) => {
       const run = await schedules.runSchedule(seed, faults);
       const violations = histories.findViolations(run.history);
-      if (violations.length > 0 || run.leasesBroken > 0) {
-        throw new Error(`${violations.join('; ')}; leases held twice: ${run.leasesBroken}`);
+      if (violations.length > 0 || run.leaseViolations > 0) {
+        throw new Error(`${violations.join('; ')}; leases held twice: ${run.leaseViolations}`);
       }
       return run.history.some((op) => op.kind === 'read' && op.seen.length > 0);
     },
@@ -119,8 +119,8 @@
       const run = await schedules.runSchedule(seed, faults);
       wipes += run.wipes;
       const violations = histories.findViolations(run.history);
-      if (violations.length > 0 || run.leasesBroken > 0) {
-        throw new Error(`${violations.join('; ')}; leases held twice: ${run.leasesBroken}`);
+      if (violations.length > 0 || run.leaseViolations > 0) {
+        throw new Error(`${violations.join('; ')}; leases held twice: ${run.leaseViolations}`);
       }
     },
   );
@@ -154,9 +154,9 @@
         replaced += run.replaced;
         const violations = histories.findViolations(run.history);
         const isServing = run.isServing();
-        if (violations.length > 0 || run.leasesBroken > 0 || !isServing) {
+        if (violations.length > 0 || run.leaseViolations > 0 || !isServing) {
           throw new Error(
-            `${violations.join('; ')}; leases held twice: ${run.leasesBroken}; serves: ${isServing}`,
+            `${violations.join('; ')}; leases held twice: ${run.leaseViolations}; serves: ${isServing}`,
           );
         }
       },
--- a/packages/consensus/tests/seat-change.test.ts
+++ b/packages/consensus/tests/membership-change.test.ts
@@ -27,13 +27,13 @@
   return { cluster, leader, others: [one!, two!] };
 }
 
-function getSeat(cluster: clusters.Cluster, daemonId: string): consensus.VoterSeat {
+function getSeat(cluster: clusters.Cluster, daemonId: string): consensus.VoterSlot {
   return { daemonId, voterId: cluster.nodes.get(daemonId)!.voter!.voterId };
 }
 
 /** Gives one voter's seat to the spare host. */
 function swap({ cluster, leader }: Roles, gone: string): Promise<void> {
-  return leader.leadership!.seat((seats) => [
+  return leader.leadership!.changeVoters((seats) => [
     ...seats.filter((seat) => seat.daemonId !== gone),
     getSeat(cluster, 'spare'),
   ]);
@@ -129,7 +129,7 @@
     cluster.start(leader.daemonId);
     t.ok(await isAccepted(cluster, 'after'), `after ${at} ms: the log goes on`);
     await cluster.clock.advance(2_000);
-    const seating = cluster.findLeader()!.entries.getSeating();
+    const seating = cluster.findLeader()!.entries.getVoterSet();
     t.equal(seating.former, undefined, `after ${at} ms: one group votes`);
     const seats = listSeats(cluster.findLeader());
     const wanted = [[leader.daemonId, stays, 'spare'].sort(), [...THREE]];
@@ -156,7 +156,7 @@
   cluster.start('spare');
   await cluster.clock.advance(500);
   swap({ cluster, leader, others }, others[0]).catch(() => {});
-  while (leader.entries.getSeating().former === undefined) {
+  while (leader.entries.getVoterSet().former === undefined) {
     await cluster.clock.advance(1);
   }
   const { lastIndex } = cluster.nodes.get('spare')!.voter!.entries;
@@ -192,7 +192,7 @@
   void swap(roles, gone).then(() => {
     isOver = true;
   });
-  while (leader.entries.getSeating().former === undefined) {
+  while (leader.entries.getVoterSet().former === undefined) {
     await cluster.clock.advance(1);
   }
   cluster.cut(leader.daemonId, 'spare');
@@ -214,7 +214,7 @@
   const [away, stays] = others;
   cluster.kill(away);
   swap(roles, away).catch(() => {});
-  while (leader.entries.getSeating().former === undefined) {
+  while (leader.entries.getVoterSet().former === undefined) {
     await cluster.clock.advance(1);
   }
   // Cut off first: an answer that is under way would count.
@@ -235,8 +235,8 @@
   const changed = swap(roles, others[0]);
   await cluster.clock.advance(1_500);
   await changed;
-  t.notOk(cluster.nodes.get(others[0])!.voter!.isSeated());
-  t.ok(cluster.nodes.get('spare')!.voter!.isSeated());
+  t.notOk(cluster.nodes.get(others[0])!.voter!.hasSlot());
+  t.ok(cluster.nodes.get('spare')!.voter!.hasSlot());
   t.ok(await isAccepted(cluster, 'after'));
 });
 
@@ -247,7 +247,7 @@
   await cluster.clock.advance(3_000);
   await changed;
   t.notOk(leader.isLeader());
-  t.notOk(leader.isSeated());
+  t.notOk(leader.hasSlot());
   t.not(cluster.findLeader()?.daemonId, leader.daemonId);
   t.ok(await isAccepted(cluster, 'after'));
 });
@@ -257,7 +257,7 @@
   const { cluster, leader, others } = await start(61);
   const seen: string[][] = [];
   const drop = (gone: string) =>
-    leader.leadership!.seat((seats) => {
+    leader.leadership!.changeVoters((seats) => {
       seen.push(seats.map((seat) => seat.daemonId).sort());
       return seats.filter((seat) => seat.daemonId !== gone);
     });
@@ -286,11 +286,11 @@
     await wal.compact(snapshot, () => rest);
     const open = async () =>
       new consensus.EntryLog(await new consensus.Wal(files.reopen()).recover(), former);
-    t.same((await open()).getSeating(), { seats, former }, 'from a snapshot');
+    t.same((await open()).getVoterSet(), { seats, former }, 'from a snapshot');
     const entry = { index: 5, term: 1, kind: 'voters' as const, data: { seats } };
     await wal.append({ kind: 'entries', entries: [entry] });
-    t.same((await open()).getSeating(), { seats }, 'from an entry');
+    t.same((await open()).getVoterSet(), { seats }, 'from an entry');
     await wal.append({ kind: 'entries', entries: [{ ...entry, index: 6, data: former }] });
-    t.same((await open()).getSeating(), { seats: former }, 'from an entry of an earlier version');
+    t.same((await open()).getVoterSet(), { seats: former }, 'from an entry of an earlier version');
   },
 );
--- a/packages/consensus/tests/seat-plan.test.ts
+++ b/packages/consensus/tests/plan-voter-slots.test.ts
@@ -3,15 +3,15 @@
 
 const PATIENCE_MS = 6_000;
 
-function held(name: string, silentMs = 0): consensus.HeldSeat {
+function held(name: string, silentMs = 0): consensus.OccupiedVoterSlot {
   return { daemonId: name, voterId: `${name}1`, silentMs };
 }
 
-function heard(daemonId: string, voterId: string, silentMs = 0): consensus.SeatCandidate {
+function heard(daemonId: string, voterId: string, silentMs = 0): consensus.VoterSlotCandidate {
   return { daemonId, voterId, silentMs };
 }
 
-function inZone(name: string, availabilityZone: string): consensus.SeatCandidate {
+function inZone(name: string, availabilityZone: string): consensus.VoterSlotCandidate {
   return { daemonId: name, voterId: `${name}1`, silentMs: 0, availabilityZone };
 }
 
@@ -21,8 +21,8 @@
 
 interface Case {
   readonly name: string;
-  readonly candidates: readonly consensus.SeatCandidate[];
-  readonly seats?: readonly consensus.HeldSeat[];
+  readonly candidates: readonly consensus.VoterSlotCandidate[];
+  readonly seats?: readonly consensus.OccupiedVoterSlot[];
   readonly wanted?: number;
   /** The folders that should vote; nothing where nothing should change. */
   readonly next?: readonly string[];
@@ -30,11 +30,11 @@
 
 function check(t: { same: (a: unknown, b: unknown, name: string) => unknown }, item: Case): void {
   const { candidates, name, next, seats = SEATS, wanted = 3 } = item;
-  const plan = consensus.planSeats({
-    seats,
+  const plan = consensus.planVoterSlots({
+    slots: seats,
     candidates,
-    wanted,
-    patienceMs: PATIENCE_MS,
+    slotCount: wanted,
+    replaceAfterMs: PATIENCE_MS,
     liveMs: 1_000,
   });
   t.same(plan?.map((seat) => seat.voterId).sort(), next, name);
--- a/packages/consensus/tests/quorum.test.ts
+++ b/packages/consensus/tests/quorum.test.ts
@@ -1,7 +1,7 @@
 import * as consensus from '@bramleyridge/consensus';
 import * as tap from 'tap';
 
-function seat(name: string): consensus.VoterSeat {
+function seat(name: string): consensus.VoterSlot {
   return { daemonId: name, voterId: `${name}1` };
 }
 
@@ -34,7 +34,7 @@
     const quorum = new consensus.Quorum({ seats: NEXT, former: FORMER });
     const values: Record<string, number> = { a: 1, b: 2, c: 9, d: 7 };
     t.equal(
-      quorum.getReached((item) => values[item.daemonId]!),
+      quorum.getReachedValue((item) => values[item.daemonId]!),
       2,
     );
     t.same(
@@ -46,15 +46,15 @@
       'everyone once',
     );
     t.equal(
-      quorum.countLossesBorne(() => true),
+      quorum.countTolerableLosses(() => true),
       1,
     );
     t.equal(
-      quorum.countLossesBorne((item) => item.daemonId !== 'a'),
+      quorum.countTolerableLosses((item) => item.daemonId !== 'a'),
       0,
     );
     t.equal(
-      quorum.countLossesBorne((item) => item.daemonId === 'd'),
+      quorum.countTolerableLosses((item) => item.daemonId === 'd'),
       -2,
     );
   },
--- a/packages/consensus/tests/support/cluster.ts
+++ b/packages/consensus/tests/support/cluster.ts
@@ -18,8 +18,8 @@
 
 /** How bad the links are, each from 0 to 1. */
 export interface LinkFaults {
-  lost: number;
-  doubled: number;
+  lossRate: number;
+  duplicateRate: number;
   maxDelayMs: number;
 }
 
@@ -27,7 +27,7 @@
 export class Cluster {
   public readonly clock = new schemas.VirtualClock();
   public readonly nodes = new Map<string, Node>();
-  public readonly faults: LinkFaults = { lost: 0, doubled: 0, maxDelayMs: 5 };
+  public readonly faults: LinkFaults = { lossRate: 0, duplicateRate: 0, maxDelayMs: 5 };
   public snapshotEvery = 50;
   private readonly cuts = new Set<string>();
   private readonly rng: ReturnType<typeof xoroshiro.xoroshiro128plus>;
@@ -135,7 +135,8 @@
       daemonId: node.daemonId,
       founders: this.firstVoters,
       listPeers: () => this.firstVoters,
-      ask: (peer) => this.send(node.daemonId, peer, (other) => consensus.openIdentity(other.files)),
+      fetchGenesis: (peer) =>
+        this.send(node.daemonId, peer, (other) => consensus.openIdentity(other.files)),
       clock: this.clock,
       signal: node.abort.signal,
     });
@@ -173,7 +174,7 @@
     const timeout = this.clock.sleep(DEADLINE_MS).then(() => {
       throw new Error('deadline');
     });
-    const times = this.random() < this.faults.doubled ? 2 : 1;
+    const times = this.random() < this.faults.duplicateRate ? 2 : 1;
     const deliveries = Array.from({ length: times }, () => this.deliver(from, to, handle));
     return Promise.race([timeout, ...deliveries]);
   }
@@ -195,7 +196,7 @@
 
   private async travel(from: string, to: string): Promise<void> {
     await this.clock.sleep(this.random() * this.faults.maxDelayMs);
-    if (this.cuts.has(`${from}>${to}`) || this.random() < this.faults.lost) {
+    if (this.cuts.has(`${from}>${to}`) || this.random() < this.faults.lossRate) {
       await this.never();
     }
   }
--- a/packages/consensus/tests/support/schedule.ts
+++ b/packages/consensus/tests/support/schedule.ts
@@ -11,7 +11,7 @@
 /** How many steps the voters are given to settle at the end. */
 const SETTLE_STEPS = 20;
 
-const NO_SEATS: consensus.Seating = { seats: [] };
+const NO_SEATS: consensus.VoterSet = { seats: [] };
 
 /** How many disks five voters may lose at once. */
 const MOST_WIPED = 2;
@@ -48,13 +48,13 @@
 );
 
 /** One schedule under way: its faults, what operators ask for meanwhile, and what they saw. */
-export class Run {
+export class ScheduleRun {
   public readonly history: histories.Op[] = [];
-  public leasesBroken = 0;
+  public leaseViolations = 0;
   public wipes = 0;
   public replaced = 0;
   /** When the last fault was over and everything was up again. */
-  public mendedAt = 0;
+  public recoveredAt = 0;
   /** Of those that are not gone for good. */
   private readonly names = [...VOTERS];
   private readonly down = new Set<string>();
@@ -70,7 +70,9 @@
 
   /** Whether a command was accepted that was given after all was mended. */
   public isServing(): boolean {
-    return this.history.some((op) => op.kind === 'write' && op.accepted && op.from > this.mendedAt);
+    return this.history.some(
+      (op) => op.kind === 'write' && op.accepted && op.from > this.recoveredAt,
+    );
   }
 
   public inject(fault: Fault): void {
@@ -122,7 +124,7 @@
     this.down.clear();
   }
 
-  public async act(): Promise<void> {
+  public async step(): Promise<void> {
     this.cluster.listLeaders().forEach((leader) => {
       this.write(leader);
       void this.read(leader);
@@ -130,15 +132,15 @@
     for (let i = 0; i < 6; i += 1) {
       await this.cluster.clock.advance(STEP_MS / 6);
       const leased = this.cluster.listLeaders().filter((v) => v.leadership?.isLeaseHeld() ?? false);
-      this.leasesBroken += leased.length > 1 ? 1 : 0;
+      this.leaseViolations += leased.length > 1 ? 1 : 0;
     }
   }
 
   /** Has the leader look the seats over, as a core host does; a host that lost its disk is seated anew. */
-  public async repairSeats(): Promise<void> {
+  public async repairVoterSlots(): Promise<void> {
     const leader = this.cluster.findLeader();
     const leadership = leader?.leadership;
-    if (leadership === undefined || !leadership.isSettled()) {
+    if (leadership === undefined || !leadership.hasCommittedInTerm()) {
       return;
     }
     const candidates = [...this.cluster.nodes.values()].flatMap(({ daemonId, voter }) =>
@@ -148,12 +150,12 @@
     );
     // One that is cut short is planned again at the next step.
     await leadership
-      .seat((seats) =>
-        consensus.planSeats({
-          seats: seats.map((seat) => ({ ...seat, silentMs: leadership.getSilentMs(seat) })),
+      .changeVoters((seats) =>
+        consensus.planVoterSlots({
+          slots: seats.map((seat) => ({ ...seat, silentMs: leadership.getLagMs(seat) })),
           candidates,
-          wanted: VOTERS.length,
-          patienceMs: this.patienceMs,
+          slotCount: VOTERS.length,
+          replaceAfterMs: this.patienceMs,
           liveMs: 1_000,
         }),
       )
@@ -187,8 +189,8 @@
       this.names.map((name) => this.cluster.nodes.get(name)?.voter?.voterId).filter(Boolean),
     );
     const leader = this.cluster.findLeader();
-    const { seats, former = [] } = leader?.entries.getSeatingAt(leader.commitIndex) ?? NO_SEATS;
-    const countLost = (group: readonly consensus.VoterSeat[]) =>
+    const { seats, former = [] } = leader?.entries.getVoterSetAt(leader.commitIndex) ?? NO_SEATS;
+    const countLost = (group: readonly consensus.VoterSlot[]) =>
       group.filter((seat) => !folders.has(seat.voterId)).length;
     const lost = Math.max(countLost(seats), countLost(former));
     const isSettled = folders.size === this.names.length;
@@ -245,7 +247,7 @@
 /** What a schedule may ask for beside its faults. */
 export interface SettleOptions {
   /** How long a seat may be silent before another host takes it, in milliseconds. */
-  readonly patienceMs?: number;
+  readonly replaceAfterMs?: number;
   /** How many steps the voters get at most until a command is accepted again. */
   readonly settleSteps?: number;
 }
@@ -255,26 +257,26 @@
   seed: number,
   faults: readonly Fault[],
   prepare: (cluster: clusters.Cluster) => void = () => {},
-  { patienceMs = Infinity, settleSteps = SETTLE_STEPS }: SettleOptions = {},
-): Promise<Run> {
+  { replaceAfterMs: patienceMs = Infinity, settleSteps = SETTLE_STEPS }: SettleOptions = {},
+): Promise<ScheduleRun> {
   const cluster = new clusters.Cluster(VOTERS, seed);
   prepare(cluster);
   await cluster.startAll();
-  cluster.faults.lost = 0.02;
-  cluster.faults.doubled = 0.05;
+  cluster.faults.lossRate = 0.02;
+  cluster.faults.duplicateRate = 0.05;
   cluster.faults.maxDelayMs = 40;
-  const run = new Run(cluster, patienceMs);
+  const run = new ScheduleRun(cluster, patienceMs);
   for (const fault of faults) {
     run.inject(fault);
-    void run.repairSeats();
-    await run.act();
+    void run.repairVoterSlots();
+    await run.step();
   }
   cluster.heal();
   run.restartAll();
-  run.mendedAt = cluster.clock.now();
+  run.recoveredAt = cluster.clock.now();
   for (let i = 0; i < SETTLE_STEPS || (i < settleSteps && !run.isServing()); i += 1) {
-    void run.repairSeats();
-    await run.act();
+    void run.repairVoterSlots();
+    await run.step();
   }
   return run;
 }
--- a/packages/consensus/tests/voter.test.ts
+++ b/packages/consensus/tests/voter.test.ts
@@ -44,11 +44,11 @@
   cluster.start(second);
   await cluster.clock.advance(2_000);
   const { voterId } = cluster.nodes.get(second)!.voter!;
-  t.notOk(cluster.nodes.get(second)!.voter!.isSeated(), 'the new folder holds no seat yet');
+  t.notOk(cluster.nodes.get(second)!.voter!.hasSlot(), 'the new folder holds no seat yet');
   const added = leader.leadership!.addVoter({ daemonId: second, voterId });
   await cluster.clock.advance(3_000);
   await added;
-  t.ok(cluster.nodes.get(second)!.voter!.isSeated(), 'the new folder is seated');
+  t.ok(cluster.nodes.get(second)!.voter!.hasSlot(), 'the new folder is seated');
   cluster.kill(third);
   await cluster.clock.advance(3_000);
   await propose(cluster, 'two');
--- a/packages/daemon/src/caller-api.ts
+++ b/packages/daemon/src/caller-api.ts
@@ -110,7 +110,7 @@
 
   private showReady(res: http.ServerResponse): void {
     const { drain, store, view } = this.parts;
-    const isReady = store.isReady() && view.isInformed() && !drain.isDraining();
+    const isReady = store.isReady() && view.hasUpstreamList() && !drain.isDraining();
     requests.sendJson(res, isReady ? 200 : 503, {
       isReady,
       isDraining: drain.isDraining(),
--- a/packages/daemon/src/claim-desk.ts
+++ b/packages/daemon/src/claim-desk.ts
@@ -33,7 +33,7 @@
 
 /** Where a daemon claims calls, and asks who holds a claim. */
 export class ClaimDesk {
-  public readonly seat: requests.ClaimSeat;
+  public readonly seat: requests.ClaimAcceptor;
   private readonly proposer: requests.ClaimProposer;
   private isStopped = false;
 
@@ -48,13 +48,13 @@
       recover: (daemonId, req) => mesh.get(daemonId).recover.mutate(req, { context }),
     };
     const { daemonId } = cfg;
-    this.seat = new requests.ClaimSeat({ daemonId, incarnation, clock, log, transport });
+    this.seat = new requests.ClaimAcceptor({ daemonId, incarnation, clock, log, transport });
     this.proposer = new requests.ClaimProposer({
       daemonId: `${daemonId}@${incarnation}`,
       transport,
       clock,
       random,
-      getSeats: () => store.get().claimSeats,
+      getAcceptors: () => store.get().claimSeats,
     });
   }
 
--- a/packages/daemon/src/completion-dispatch.ts
+++ b/packages/daemon/src/completion-dispatch.ts
@@ -17,7 +17,7 @@
 
 /** One try of a completion at one engine. */
 interface Attempt {
-  readonly life: ReturnType<typeof requests.createRequestLife>;
+  readonly life: ReturnType<typeof requests.createRequestLifecycle>;
   readonly call: string;
   readonly grant: grantClients.Grant;
   readonly generation: string;
@@ -55,7 +55,7 @@
 
   private async begin(job: Job, res: http.ServerResponse): Promise<Attempt> {
     const { cfg, ids, incarnation } = this.parts;
-    const life = requests.createRequestLife();
+    const life = requests.createRequestLifecycle();
     const call = this.createCall();
     const grant = await this.askRoom(job, call, res);
     life.move('grant');
@@ -67,7 +67,7 @@
       counter: call.slice(call.lastIndexOf('.') + 1),
       upstreamId: grant.upstream.upstreamId,
     };
-    return { life, call, grant, generation: ids.create(id, job.team.name) };
+    return { life, call, grant, generation: ids.encode(id, job.team.name) };
   }
 
   private async handOver(job: Job, attempt: Attempt): Promise<relayFlows.RelayTask> {
--- a/packages/daemon/src/completion-flow.ts
+++ b/packages/daemon/src/completion-flow.ts
@@ -93,7 +93,7 @@
       return true;
     }
     // Nothing was delivered, so a new generation is no splice; but only when the former can't still run.
-    const isOver = end.err?.kind === 'gone' || end.err?.isDead() === true;
+    const isOver = end.err?.kind === 'gone' || end.err?.isConnectionRefused() === true;
     job.ended += isOver ? 1 : 0;
     const mayRunAgain = job.isRepeatable && job.key === undefined && job.ended < MOST_ENDED;
     if (isOver && mayRunAgain && budget.take()) {
--- a/packages/daemon/src/control-plane.ts
+++ b/packages/daemon/src/control-plane.ts
@@ -22,7 +22,7 @@
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly random: () => number;
-  readonly files?: consensus.FileLayer;
+  readonly files?: consensus.FileStorage;
 }
 
 /** The part of a daemon that takes part in, or asks, the replicated log. */
@@ -133,13 +133,15 @@
     }
   }
 
-  private async openFolder(): Promise<consensus.FileLayer> {
-    const files = new consensus.FolderFiles(path.join(this.options.cfg.dataFolder ?? '', 'log'));
+  private async openFolder(): Promise<consensus.FileStorage> {
+    const files = new consensus.DirectoryStorage(
+      path.join(this.options.cfg.dataFolder ?? '', 'log'),
+    );
     await files.open();
     return files;
   }
 
-  private async runVoter(files: consensus.FileLayer): Promise<void> {
+  private async runVoter(files: consensus.FileStorage): Promise<void> {
     const { cfg, clock, log, mesh, random } = this.options;
     const { signal } = this.stopping;
     const firstVoters = cfg.peers.filter((peer) => peer.voter).map((peer) => peer.daemonId);
@@ -149,7 +151,7 @@
       daemonId: cfg.daemonId,
       founders: firstVoters,
       listPeers: () => firstVoters,
-      ask: (peer) => mesh.get(peer).genesis.mutate(),
+      fetchGenesis: (peer) => mesh.get(peer).genesis.mutate(),
       clock,
       signal,
     });
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -243,7 +243,7 @@
       grants: new grantClients.GrantClient({ ...shared, host: this.poolHost }),
       claims: new claimDesks.ClaimDesk({ ...shared, calls }),
       adoptions: new adoptions.AdoptionTable(),
-      ids: new requests.GenerationIds(() => this.keyring.listKeys()),
+      ids: new requests.GenerationIdCodec(() => this.keyring.listKeys()),
       budget: new requests.RetryBudget(clock),
       drain: new requests.Drain(clock),
     };
--- a/packages/daemon/src/grant-client.ts
+++ b/packages/daemon/src/grant-client.ts
@@ -201,7 +201,7 @@
         outstanding: this.countOn(item.upstreamId),
         reportedShare: this.countOn(item.upstreamId) / LONE_SHARE,
       }));
-    const chosen = routing.chooseOfTwo(candidates, random);
+    const chosen = routing.chooseFallbackUpstream(candidates, random);
     const upstream = chosen === undefined ? undefined : this.findUpstream(chosen.upstreamId);
     if (upstream === undefined) {
       throw createNoRoom(req.team, 2);
--- a/packages/daemon/src/leader-tasks.ts
+++ b/packages/daemon/src/leader-tasks.ts
@@ -18,7 +18,7 @@
 /** After how long without a word a zone's revision is not known to be in force, in milliseconds. */
 const ZONE_SILENT_MS = 5_000;
 
-interface Seen extends placement.Observed {
+interface Seen extends placement.ObservedUpstream {
   readonly at: number;
 }
 
@@ -96,8 +96,10 @@
       return { faults, effects: [] };
     }
     const observed = [...this.seen.values()];
-    const desired = placement.getDesiredSlots(command.declaration, observed);
-    const effects = placement.planSteps(desired, observed).map((step) => this.describe(step));
+    const desired = placement.getDesiredReplicas(command.declaration, observed);
+    const effects = placement
+      .planReconcileSteps(desired, observed)
+      .map((step) => this.describe(step));
     return { faults, effects, result: await control.proposeHere(command) };
   }
 
@@ -125,9 +127,9 @@
   /** The leader's own zone reports to nobody else when the leader is its relay. */
   private hearOwnZone(): void {
     const { view } = this.options;
-    const [own, ...others] = view.listBeats();
+    const [own, ...others] = view.listHeartbeats();
     if (view.isRelay() && own !== undefined) {
-      this.zones.takeOwn(own, [own, ...others]);
+      this.zones.setOwnZone(own, [own, ...others]);
     }
   }
 
@@ -164,7 +166,10 @@
     await this.look(revision !== this.lookAtRevision);
     this.lookAtRevision = revision;
     const observed = [...this.seen.values()];
-    const steps = placement.planSteps(placement.getDesiredSlots(declaration, observed), observed);
+    const steps = placement.planReconcileSteps(
+      placement.getDesiredReplicas(declaration, observed),
+      observed,
+    );
     const taken = await this.getSender().run(steps, this.upstreams);
     taken.forEach((id) => this.seen.delete(id));
   }
@@ -271,7 +276,7 @@
       .forEach((id) => this.seen.delete(id));
   }
 
-  private describe(step: placement.Step): string {
+  private describe(step: placement.ReconcileStep): string {
     const { upstreamId, model, version } = step.slot;
     const zone = this.upstreams.get(upstreamId)?.availabilityZone ?? '?';
     return `${step.action} ${model}:${version} on ${upstreamId} in ${zone} (${step.reason})`;
--- a/packages/daemon/src/parts.ts
+++ b/packages/daemon/src/parts.ts
@@ -30,7 +30,7 @@
   readonly claims: claimDesks.ClaimDesk;
   readonly calls: requests.CallRegistry;
   readonly adoptions: adoptions.AdoptionTable;
-  readonly ids: requests.GenerationIds;
+  readonly ids: requests.GenerationIdCodec;
   readonly budget: requests.RetryBudget;
   readonly drain: requests.Drain;
   readonly random: () => number;
--- a/packages/daemon/src/pool-host.ts
+++ b/packages/daemon/src/pool-host.ts
@@ -126,7 +126,7 @@
         `${prefix}${number.toString(36)}`,
         count,
       ]);
-      owner.progress({ daemonId, tokens: told });
+      owner.applyProgress({ daemonId, tokens: told });
     }
   }
 
@@ -157,7 +157,7 @@
     return new routing.PoolOwner({
       clock,
       overflowRisk: Math.min(...risks, 0.5),
-      roomTokens: intents.reduce((sum, intent) => sum + intent.room, 0) || Infinity,
+      capacityTokens: intents.reduce((sum, intent) => sum + intent.room, 0) || Infinity,
       getShare: (name) => {
         const team = store.get().declaration.teams.find((item) => item.name === name);
         return team ?? { weight: 1, maxConcurrent: 1, maxQueued: 0 };
@@ -219,7 +219,7 @@
         pool.refusedAt.set(upstreamId, this.options.clock.now());
       }
       this.takeCacheEvents(pool, upstreamId, report.cache);
-      pool.owner.takeReport(upstreamId, report);
+      pool.owner.applyReport(upstreamId, report);
     } catch (err) {
       pool.lost.set(upstreamId, (pool.lost.get(upstreamId) ?? 0) + 1);
       const { message } = schemas.toError(err);
@@ -243,9 +243,9 @@
     pool.cacheNext.set(upstreamId, cache.first + cache.events.length);
     cache.events.forEach(({ isStored, prefix }) => {
       if (isStored) {
-        affinity.note(prefix, upstreamId, this.options.clock.now());
+        affinity.add(prefix, upstreamId, this.options.clock.now());
       } else {
-        affinity.drop(prefix, upstreamId);
+        affinity.remove(prefix, upstreamId);
       }
     });
   }
--- a/packages/daemon/src/resume-flow.ts
+++ b/packages/daemon/src/resume-flow.ts
@@ -23,7 +23,7 @@
     const path = `/v1/generations/${generation}/events`;
     const team = access.authenticate(req);
     access.checkPlace(team, path);
-    const id = ids.find(generation, team.name);
+    const id = ids.decode(generation, team.name);
     if (id === undefined) {
       throw createUnknown(404);
     }
--- a/packages/daemon/tests/control.test.ts
+++ b/packages/daemon/tests/control.test.ts
@@ -233,10 +233,10 @@
       await deployment.restartWithoutDisk(victim);
       const voter = () => deployment.running[victim]!.daemon.control.voter;
       await deployment.until('the new folder to follow', () => voter() !== undefined);
-      t2.notOk(voter()!.isSeated(), 'it holds no seat');
+      t2.notOk(voter()!.hasSlot(), 'it holds no seat');
       const added = await deployment.operate('/voters', { action: 'add', daemonId });
       t2.equal(added.status, 200);
-      await deployment.until('the seat', () => voter()!.isSeated());
+      await deployment.until('the seat', () => voter()!.hasSlot());
       await confirm(deployment, 'after-repair', withWeight(files, 77));
       await deployment.until(
         'the change at the repaired voter',
--- a/packages/daemon/tests/pool-host.test.ts
+++ b/packages/daemon/tests/pool-host.test.ts
@@ -73,7 +73,7 @@
     caches.delete(upstreamId);
     return createReport(at, cache);
   };
-  const configuration = intents.createEmpty();
+  const configuration = intents.createEmptyConfiguration();
   configuration.declaration.teams.push({
     name: 'sales',
     weight: 1,
--- a/packages/gateway/src/call-admission.ts
+++ b/packages/gateway/src/call-admission.ts
@@ -4,7 +4,7 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import type * as ports from './ports.js';
-import type * as routedStores from './routed-store.js';
+import type * as routedStores from './routed-configuration-store.js';
 
 /** What a caller is told to wait while this host has no configuration, in seconds. */
 const NOT_READY_RETRY_S = 1;
@@ -28,7 +28,7 @@
 /** The one place where a routed call is admitted or refused by its head. */
 export class CallAdmission {
   public constructor(
-    private readonly store: routedStores.RoutedStore,
+    private readonly store: routedStores.RoutedConfigurationStore,
     private readonly wire: ports.CallWire,
     private readonly clock: schemas.Clock,
     private readonly random: () => number,
@@ -56,7 +56,7 @@
     if (service === undefined) {
       throw createRefusal('noRoute', 404, [req.method ?? '', path.slice(0, 200)]);
     }
-    const waitMs = Math.min(facts.patienceMs ?? Infinity, route.timeoutMs);
+    const waitMs = Math.min(facts.callerTimeoutMs ?? Infinity, route.timeoutMs);
     const endsAt = arrivedAt + waitMs;
     const method = req.method ?? 'GET';
     const regions = intersect(route.regions, team?.regions);
--- a/packages/gateway/src/core-greeter.ts
+++ b/packages/gateway/src/core-discovery.ts
@@ -3,17 +3,17 @@
 import type * as coreGroups from './core-group.js';
 import type * as coreMeshes from './core-mesh.js';
 import type * as procedures from './core-procedures.js';
-import type * as coreTables from './core-table.js';
+import type * as coreTables from './core-host-registry.js';
 
 /** How often core hosts greet each other, in milliseconds. */
 const HELLO_MS = 400;
 
 /** What greeting needs. */
-export interface CoreGreeterOptions {
+export interface CoreDiscoveryOptions {
   readonly coreId: string;
   readonly availabilityZone: string;
   readonly group: coreGroups.CoreGroup;
-  readonly table: coreTables.CoreTable;
+  readonly registry: coreTables.CoreHostRegistry;
   readonly mesh: coreMeshes.CorePeers;
   readonly listSeeds: () => readonly string[];
   readonly clock: schemas.Clock;
@@ -21,24 +21,24 @@
 }
 
 /** Tells the other core hosts that this one is there, and learns from them who else is. */
-export class CoreGreeter {
+export class CoreDiscovery {
   private isStopped = false;
 
-  public constructor(private readonly options: CoreGreeterOptions) {}
+  public constructor(private readonly options: CoreDiscoveryOptions) {}
 
   /** Greets until stopped. */
   public async run(): Promise<void> {
-    const { clock, listSeeds, table } = this.options;
+    const { clock, listSeeds, registry: table } = this.options;
     while (!this.isStopped) {
-      table.learn(listSeeds());
-      this.greetAll();
+      table.addNames(listSeeds());
+      this.announceAll();
       await clock.sleep(HELLO_MS);
     }
   }
 
   /** Greets everyone at once. */
-  public greetAll(): void {
-    this.options.table.listOthers().forEach((coreId) => {
+  public announceAll(): void {
+    this.options.registry.listOthers().forEach((coreId) => {
       void this.greet(coreId);
     });
   }
@@ -49,22 +49,22 @@
   }
 
   /** Answers another core host. */
-  public answer(req: procedures.HelloReq): procedures.HelloRes {
-    const { group, table } = this.options;
-    table.hear(req);
-    table.learn(req.known);
+  public handleHello(req: procedures.HelloReq): procedures.HelloRes {
+    const { group, registry: table } = this.options;
+    table.recordAnnouncement(req);
+    table.addNames(req.known);
     return { known: table.listAll(), leader: group.voter?.leader };
   }
 
   private async greet(peer: string): Promise<void> {
-    const { availabilityZone, coreId, group, log, mesh, table } = this.options;
+    const { availabilityZone, coreId, group, log, mesh, registry: table } = this.options;
     try {
       const { voterId } = group.getIdentity();
-      const { isLeaving } = group.seats;
+      const { isLeaving } = group.membership;
       const known = table.listAll();
       const greeting = { coreId, voterId, availabilityZone, isLeaving, known };
       const res = await mesh.get(peer).hello.mutate(greeting);
-      table.learn(res.known);
+      table.addNames(res.known);
       table.leaderHint = res.leader ?? table.leaderHint;
     } catch (err) {
       log.debug({ step: 'greet', peer, err: schemas.toError(err).message });
--- a/packages/gateway/src/core-group.ts
+++ b/packages/gateway/src/core-group.ts
@@ -4,8 +4,8 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import type * as coreMeshes from './core-mesh.js';
-import type * as coreTables from './core-table.js';
-import * as seatKeepers from './seat-keeper.js';
+import type * as coreTables from './core-host-registry.js';
+import * as seatKeepers from './membership-manager.js';
 
 /**
  * The election timeout, in milliseconds. The group has a new leader within about twice that, so an order sent
@@ -28,25 +28,25 @@
   readonly coreId: string;
   readonly availabilityZone: string;
   readonly founders: readonly string[];
-  readonly wantedSeats: number;
-  readonly openFiles: () => Promise<consensus.FileLayer>;
+  readonly voterSlotCount: number;
+  readonly openFiles: () => Promise<consensus.FileStorage>;
   readonly mesh: coreMeshes.CorePeers;
-  readonly table: coreTables.CoreTable;
+  readonly registry: coreTables.CoreHostRegistry;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly random: () => number;
 }
 
 /** Who leads, and when that was last heard, on this host's clock. */
-export interface HeardLeader {
+export interface RecentLeader {
   readonly coreId: string;
-  readonly heardAt: number;
+  readonly lastContactAt: number;
 }
 
 /** The document itself with all else beside it, so that hosts of the version before find what they know. */
 interface CoreSnapshot extends Partial<intents.DeclaredDocument> {
   readonly quarantine?: readonly routing.SuspectFacts[];
-  readonly evacuations?: intents.EvacuationFacts;
+  readonly evacuations?: intents.EvacuatedZones;
 }
 
 /** This host's part in the replicated log: its identity, its voter, and as the leader the seats. */
@@ -54,13 +54,13 @@
   public readonly state = new intents.DeclaredState();
   public readonly quarantine = new routing.QuarantineState();
   public readonly evacuations = new intents.EvacuationState();
-  public readonly seats: seatKeepers.SeatKeeper;
+  public readonly membership: seatKeepers.MembershipManager;
   public voter: consensus.Voter | undefined;
   private identity: consensus.Genesis | undefined;
   private readonly stopping = new AbortController();
 
   public constructor(private readonly options: CoreGroupOptions) {
-    this.seats = new seatKeepers.SeatKeeper({
+    this.membership = new seatKeepers.MembershipManager({
       ...options,
       findVoter: () => this.voter,
       isLeading: () => this.isLeading(),
@@ -70,7 +70,7 @@
   /** Takes part until stopped; a voter whose disk failed is opened anew from what the disk holds. */
   public async run(): Promise<void> {
     const { signal } = this.stopping;
-    void this.seats.run(signal);
+    void this.membership.run(signal);
     while (!signal.aborted) {
       try {
         await this.runVoter();
@@ -116,25 +116,25 @@
   /** Whether this host leads and a majority has lately confirmed it. */
   public isLeading(): boolean {
     const leadership = this.voter?.leadership;
-    return leadership !== undefined && leadership.isLeaseHeld() && leadership.isSettled();
+    return leadership !== undefined && leadership.isLeaseHeld() && leadership.hasCommittedInTerm();
   }
 
   /** Who leads, as far as this host leads itself or has lately heard from the leader. */
-  public findHeardLeader(): HeardLeader | undefined {
+  public findRecentLeader(): RecentLeader | undefined {
     const { clock, coreId } = this.options;
     const now = clock.now();
     if (this.isLeading()) {
-      return { coreId, heardAt: now };
+      return { coreId, lastContactAt: now };
     }
-    const { heardAt = -Infinity, leader, leadership } = this.voter ?? {};
+    const { lastLeaderContactAt: heardAt = -Infinity, leader, leadership } = this.voter ?? {};
     const isHeard = leader !== undefined && leadership === undefined && now - heardAt < ELECTION_MS;
-    return isHeard ? { coreId: leader, heardAt } : undefined;
+    return isHeard ? { coreId: leader, lastContactAt: heardAt } : undefined;
   }
 
   /** Whether what is applied here is the newest, as far as a leader's word of late vouches for it. */
   public isCurrent(): boolean {
     const { voter } = this;
-    if (voter === undefined || voter.stopped || !voter.isSeated()) {
+    if (voter === undefined || voter.stopped || !voter.hasSlot()) {
       return false;
     }
     const behindMs = this.options.clock.now() - voter.caughtUpAt;
@@ -161,7 +161,7 @@
   }
 
   private async runVoter(): Promise<void> {
-    const { clock, coreId, founders, log, mesh, random, table } = this.options;
+    const { clock, coreId, founders, log, mesh, random, registry: table } = this.options;
     const { signal } = this.stopping;
     const files = await this.options.openFiles();
     const identity = await consensus.openIdentity(files, founders);
@@ -172,7 +172,7 @@
       daemonId: coreId,
       founders: identity.founders ?? [],
       listPeers: () => table.listOthers(),
-      ask: (peer) => mesh.get(peer).genesis.mutate(),
+      fetchGenesis: (peer) => mesh.get(peer).genesis.mutate(),
       clock,
       signal,
     });
@@ -193,7 +193,7 @@
       event: 'log-opened',
       term: voter.term,
       lastIndex: voter.entries.lastIndex,
-      isSeated: voter.isSeated(),
+      isSeated: voter.hasSlot(),
       seats: voter.entries.getVoters().map((seat) => seat.daemonId),
     });
     await consensus.runElections(voter, signal);
--- a/packages/gateway/src/core-table.ts
+++ b/packages/gateway/src/core-host-registry.ts
@@ -5,7 +5,7 @@
 const FORGET_MS = 60_000;
 
 /** What a core host says of itself when it greets. */
-export interface CoreGreeting {
+export interface CoreAnnouncement {
   readonly coreId: string;
   readonly voterId: string;
   readonly availabilityZone?: string | undefined;
@@ -13,12 +13,12 @@
 }
 
 interface Heard {
-  readonly greeting: CoreGreeting;
+  readonly greeting: CoreAnnouncement;
   readonly at: number;
 }
 
 /** The core hosts that this one knows of: by name from the settings and the others, and as heard itself. */
-export class CoreTable {
+export class CoreHostRegistry {
   /** Who leads, as another core host told; for hosts without a seat, which hear no leader themselves. */
   public leaderHint: string | undefined;
   private readonly known = new Map<string, number>();
@@ -30,7 +30,7 @@
   ) {}
 
   /** Learns names, from the settings or from another core host. */
-  public learn(coreIds: readonly string[]): void {
+  public addNames(coreIds: readonly string[]): void {
     const now = this.clock.now();
     coreIds
       .filter((coreId) => coreId !== this.ownId && !this.known.has(coreId))
@@ -38,7 +38,7 @@
   }
 
   /** Notes that a core host spoke, and with which data folder. */
-  public hear(greeting: CoreGreeting): void {
+  public recordAnnouncement(greeting: CoreAnnouncement): void {
     const at = this.clock.now();
     this.known.set(greeting.coreId, at);
     this.heard.set(greeting.voterId, { greeting, at });
@@ -60,7 +60,7 @@
   }
 
   /** Who could hold a seat, with how long they have been silent. */
-  public listCandidates(): consensus.SeatCandidate[] {
+  public listCandidates(): consensus.VoterSlotCandidate[] {
     const now = this.clock.now();
     return [...this.heard.values()].map(({ greeting, at }) => ({
       daemonId: greeting.coreId,
--- a/packages/gateway/src/core-host.ts
+++ b/packages/gateway/src/core-host.ts
@@ -5,24 +5,24 @@
 import * as schemas from '@bramleyridge/schemas';
 import type * as telemetry from '@bramleyridge/telemetry';
 
-import * as coreGreeters from './core-greeter.js';
+import * as coreGreeters from './core-discovery.js';
 import * as coreGroups from './core-group.js';
 import * as coreMeshes from './core-mesh.js';
 import * as procedures from './core-procedures.js';
-import * as coreTables from './core-table.js';
-import * as entryNews from './entry-news.js';
-import * as entryTables from './entry-table.js';
-import * as evacuationOrders from './evacuation-orders.js';
+import * as coreTables from './core-host-registry.js';
+import * as entryNews from './entry-update-service.js';
+import * as entryTables from './entry-host-registry.js';
+import * as evacuationOrders from './evacuation-service.js';
 import * as hostSettings from './host-settings.js';
 import * as leaderClients from './leader-client.js';
-import * as listDesks from './list-desk.js';
-import * as operatorDesks from './operator-desk.js';
-import * as poolDesks from './pool-desk.js';
+import * as listDesks from './upstream-list-service.js';
+import * as operatorDesks from './operator-service.js';
+import * as poolDesks from './placement-service.js';
 import type * as ports from './ports.js';
 import * as retryShares from './retry-shares.js';
-import * as routedStores from './routed-store.js';
-import type * as settingsWatches from './settings-watch.js';
-import * as suspectDesks from './suspect-desk.js';
+import * as routedStores from './routed-configuration-store.js';
+import type * as settingsWatches from './settings-watcher.js';
+import * as suspectDesks from './suspect-registry.js';
 import * as suspectRelays from './suspect-relay.js';
 
 /** How long a core host may take to answer another, in milliseconds; a slow disk's sync of 150 ms is in it. */
@@ -30,7 +30,7 @@
 
 /** What a core host needs besides its settings. */
 export interface CoreHostOptions {
-  readonly settings: settingsWatches.SettingsWatch;
+  readonly settings: settingsWatches.SettingsWatcher;
   readonly codec: ports.DocumentCodec;
   readonly source: ports.UpstreamSource;
   readonly probe: ports.UpstreamProbe;
@@ -42,45 +42,45 @@
 
 /** A core host: keeps what operators declare, and as the leader tells entry hosts what is new. */
 export class CoreHost {
-  public readonly desk: operatorDesks.OperatorDesk;
-  public readonly evacuations: evacuationOrders.EvacuationOrders;
+  public readonly operatorService: operatorDesks.OperatorService;
+  public readonly evacuations: evacuationOrders.EvacuationService;
   private readonly coreId: string;
   private readonly mesh = new coreMeshes.CoreMesh(PEER_DEADLINE_MS);
-  private readonly table: coreTables.CoreTable;
-  private readonly entries: entryTables.EntryTable;
+  private readonly table: coreTables.CoreHostRegistry;
+  private readonly entries: entryTables.EntryHostRegistry;
   private readonly group: coreGroups.CoreGroup;
-  private readonly greeter: coreGreeters.CoreGreeter;
-  private readonly pools: poolDesks.PoolDesk;
-  private readonly suspects: suspectDesks.SuspectDesk;
+  private readonly greeter: coreGreeters.CoreDiscovery;
+  private readonly pools: poolDesks.PlacementService;
+  private readonly suspects: suspectDesks.SuspectRegistry;
   private readonly relay: suspectRelays.SuspectRelay;
-  private readonly store: routedStores.RoutedStore;
-  private readonly lists: listDesks.ListDesk;
-  private readonly news: entryNews.EntryNews;
+  private readonly store: routedStores.RoutedConfigurationStore;
+  private readonly lists: listDesks.UpstreamListService;
+  private readonly news: entryNews.EntryUpdateService;
   private readonly server: peers.PeerServer;
 
   public constructor(private readonly options: CoreHostOptions) {
     const { clock, codec, log, random, source } = options;
     const settings = options.settings.get();
     this.coreId = hostSettings.getCoreId(settings.ipAddress, settings.peerPort);
-    this.table = new coreTables.CoreTable(this.coreId, clock);
-    this.entries = new entryTables.EntryTable(clock);
+    this.table = new coreTables.CoreHostRegistry(this.coreId, clock);
+    this.entries = new entryTables.EntryHostRegistry(clock);
     this.group = new coreGroups.CoreGroup({
       coreId: this.coreId,
       availabilityZone: settings.availabilityZone,
       founders: settings.isFirstStart ? hostSettings.listSeedIds(settings) : [],
-      wantedSeats: 2 * settings.lossesToBear + 1,
+      voterSlotCount: 2 * settings.lossesToBear + 1,
       openFiles: () => openFolder(settings.dataFolder ?? ''),
       mesh: this.mesh,
-      table: this.table,
+      registry: this.table,
       clock,
       log,
       random,
     });
-    this.greeter = new coreGreeters.CoreGreeter({
+    this.greeter = new coreGreeters.CoreDiscovery({
       coreId: this.coreId,
       availabilityZone: settings.availabilityZone,
       group: this.group,
-      table: this.table,
+      registry: this.table,
       mesh: this.mesh,
       listSeeds: () => hostSettings.listSeedIds(options.settings.get()),
       clock,
@@ -89,15 +89,21 @@
     const { coreId, group, mesh, table } = this;
     const leader = new leaderClients.LeaderClient({ coreId, group, table, mesh, clock, log });
     const { acknowledgeMs } = settings.bounds;
-    this.desk = new operatorDesks.OperatorDesk({ group, leader, codec, log, acknowledgeMs });
-    this.evacuations = new evacuationOrders.EvacuationOrders({
+    this.operatorService = new operatorDesks.OperatorService({
+      group,
+      leader,
+      codec,
+      log,
+      acknowledgeMs,
+    });
+    this.evacuations = new evacuationOrders.EvacuationService({
       group,
       leader,
       listZones: () => hostSettings.listZones(options.settings.get()),
       clock,
       log,
     });
-    this.suspects = new suspectDesks.SuspectDesk({
+    this.suspects = new suspectDesks.SuspectRegistry({
       clock,
       log,
       metrics: options.metrics,
@@ -106,40 +112,49 @@
     });
     this.relay = new suspectRelays.SuspectRelay({
       coreId,
-      findLeader: () => group.findHeardLeader(),
-      duties: this.createSuspectDuties(),
+      findLeader: () => group.findRecentLeader(),
+      leaderHandlers: this.createSuspectDuties(),
       mesh,
       clock,
       log,
     });
-    this.store = new routedStores.RoutedStore(codec, log);
+    this.store = new routedStores.RoutedConfigurationStore(codec, log);
     this.store.markReady();
-    this.pools = new poolDesks.PoolDesk({
+    this.pools = new poolDesks.PlacementService({
       clock,
       findService: (name) => this.findService(name),
       findUpstreams: () => this.lists.getList()?.upstreams,
       isEvacuated: (zone) => this.group.evacuations.has(zone),
       getEvacuationRevision: () => this.group.evacuations.get().revision,
       coldBounds: settings.bounds,
-      retryPot: {
-        most: Math.floor(settings.bounds.retrySlack * retryShares.LENT_PART),
-        mostAtFirst: Math.floor(settings.bounds.retrySlack * retryShares.LENT_AT_FIRST_PART),
+      retryLimiter: {
+        maxGrants: Math.floor(settings.bounds.retrySlack * retryShares.GRANTED_SHARE),
+        maxGrantsForNewLeader: Math.floor(
+          settings.bounds.retrySlack * retryShares.FIRST_WINDOW_GRANTED_SHARE,
+        ),
         windowMs: settings.bounds.retryWindowMs,
       },
     });
-    this.lists = new listDesks.ListDesk({
+    this.lists = new listDesks.UpstreamListService({
       source,
       probe: options.probe,
       clock,
       log,
       getSettings: () => options.settings.get(),
-      findDueSince: () =>
+      findActiveSince: () =>
         this.group.isLeading() ? this.group.getLeadership().startedAt : undefined,
       findService: (name) => this.findService(name),
       hasRuns: (service, engineId) => this.pools.hasRuns(service, engineId),
     });
     const { entries, lists, suspects } = this;
-    this.news = new entryNews.EntryNews({ group, table, entries, lists, suspects, clock });
+    this.news = new entryNews.EntryUpdateService({
+      group,
+      registry: table,
+      entries,
+      lists,
+      suspects,
+      clock,
+    });
     this.server = new peers.PeerServer(procedures.createCoreRouter(this.createHandlers()), {
       host: settings.ipAddress,
       port: settings.peerPort,
@@ -153,8 +168,8 @@
     metrics.watch('isLeading', () => Number(this.group.isLeading()));
     metrics.watch('term', () => this.group.voter?.term ?? 0);
     metrics.watch('seats', () => this.group.voter?.entries.getVoters().length ?? 0);
-    metrics.watch('seatsSilent', () => this.findLeadership()?.listSilentSeats().length ?? -1);
-    metrics.watch('lossesBorne', () => this.findLeadership()?.countLossesBorne() ?? -1);
+    metrics.watch('seatsSilent', () => this.findLeadership()?.listLaggingVoters().length ?? -1);
+    metrics.watch('lossesBorne', () => this.findLeadership()?.countTolerableLosses() ?? -1);
     metrics.watch('zonesEvacuated', () => this.group.evacuations.get().zones.length);
     metrics.watch('entryHosts', () => this.entries.count());
     metrics.watch('configurationVersion', () => this.group.state.get()?.version ?? -1);
@@ -178,8 +193,8 @@
   /** Gives the seat away where a spare host can take it, then ends every task; a leader's place goes to another. */
   public async stop(): Promise<void> {
     this.options.log.info({ event: 'stopping', role: 'core', isLeading: this.group.isLeading() });
-    const left = this.group.seats.leave();
-    this.greeter.greetAll();
+    const left = this.group.membership.leave();
+    this.greeter.announceAll();
     await left;
     this.kill();
   }
@@ -195,34 +210,34 @@
   }
 
   private createHandlers(): procedures.CoreHandlers {
-    const { desk, group } = this;
+    const { operatorService: desk, group } = this;
     return {
       genesis: async () => group.getIdentity(),
       vote: (req) => group.getVoter().handleVote(req),
       append: (req) => group.getVoter().handleAppend(req),
       snapshot: (req) => group.getVoter().handleSnapshot(req),
-      hello: async (req) => this.greeter.answer(req),
+      hello: async (req) => this.greeter.handleHello(req),
       news: (req) => this.news.answer(req),
       place: (req) => this.place(req),
       awaitHandOver: async (req) => {
         this.checkLeading('hand-over');
-        return this.pools.awaitHandOver(req);
+        return this.pools.awaitMigration(req);
       },
       release: async (req) => this.pools.release(req),
       noteRun: async (note) => this.pools.noteRun(note),
       borrowRetry: async ({ service }) => {
         this.checkLeading('borrow-retry');
         const { startedAt, term } = group.getLeadership();
-        return { isLent: this.pools.lendRetry(service, { term, since: startedAt }) };
+        return { isLent: this.pools.grantRetry(service, { term, since: startedAt }) };
       },
       ...this.createSuspectDuties(),
       relaySuspects: (req) => this.relay.report(req),
       relayPermit: (req) => this.relay.permit(req),
-      awaitRelayed: (req) => this.relay.answer(req),
-      declare: (document) => desk.declareHere(document),
-      read: () => desk.readHere(),
-      evacuate: (entry) => this.evacuations.orderHere(entry),
-      readEvacuations: () => this.evacuations.readHere(),
+      awaitRelayed: (req) => this.relay.awaitChanges(req),
+      declare: (document) => desk.declareAsLeader(document),
+      read: () => desk.readAsLeader(),
+      evacuate: (entry) => this.evacuations.proposeAsLeader(entry),
+      readEvacuations: () => this.evacuations.readAsLeader(),
     };
   }
 
@@ -254,7 +269,7 @@
       },
       permitSuspect: async (req) => {
         this.leadSuspects('permit-suspect');
-        return this.suspects.permitRun(req);
+        return this.suspects.permitWithFacts(req);
       },
     };
   }
@@ -264,7 +279,7 @@
       this.pools.clear();
       throw new schemas.StepError({ id: 'notLeader', step });
     }
-    this.pools.lead(this.group.getLeadership().term);
+    this.pools.startLeading(this.group.getLeadership().term);
   }
 
   private findService(name: string): schemas.RoutedService | undefined {
@@ -279,13 +294,13 @@
   private leadSuspects(step: string): number {
     this.checkLeading(step);
     const { term } = this.group.getLeadership();
-    this.suspects.lead(term);
+    this.suspects.startLeading(term);
     return term;
   }
 }
 
-async function openFolder(folder: string): Promise<consensus.FileLayer> {
-  const files = new consensus.FolderFiles(path.join(folder, 'log'));
+async function openFolder(folder: string): Promise<consensus.FileStorage> {
+  const files = new consensus.DirectoryStorage(path.join(folder, 'log'));
   await files.open();
   return files;
 }
--- a/packages/gateway/src/core-procedures.ts
+++ b/packages/gateway/src/core-procedures.ts
@@ -21,10 +21,10 @@
 export const helloRes = z.object({ known: z.array(z.string()), leader: z.string().optional() });
 
 /** What a host has learned of suspects: of which leader, and up to which change. */
-export const knownSuspects = z.object({ term: z.int(), revision: z.int() });
+export const suspectCursor = z.object({ term: z.int(), revision: z.int() });
 
 /** An entry host's open question: what is newer than this? */
-export const newsReq = z.object({
+export const updatesReq = z.object({
   hostId: z.string(),
   version: z.int(),
   /** Changes with the content of the list of upstreams. */
@@ -35,7 +35,7 @@
   /** Whether it may be told only what has changed in the list since the one that it has. */
   takesChanges: z.boolean().optional(),
   /** Not sent by hosts of the version before. */
-  suspects: knownSuspects.optional(),
+  suspects: suspectCursor.optional(),
   /** Of the evacuated zones that the host knows of; not sent by hosts of the version before. */
   evacuationRevision: z.int().optional(),
 });
@@ -57,7 +57,7 @@
 });
 
 /** What a leader tells of calls under which upstreams ended. */
-export const suspectNews = z.object({
+export const suspectUpdates = z.object({
   term: z.int(),
   changes: z.object({
     revision: z.int(),
@@ -68,14 +68,14 @@
 });
 
 /** What a run of a suspect, or of one that becomes so, has shown. */
-export const suspectRun = z.discriminatedUnion('kind', [
+export const suspectOutcome = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('ended'), digest: z.string(), end: routing.processEnd }),
   z.object({ kind: z.literal('served'), digest: z.string() }),
   z.object({ kind: z.literal('over'), digest: z.string(), processId: z.string() }),
 ]);
 
 /** What runs at a host have shown. */
-export const suspectReport = z.object({ hostId: z.string(), runs: z.array(suspectRun) });
+export const suspectReport = z.object({ hostId: z.string(), runs: z.array(suspectOutcome) });
 
 /** All that a host knows of suspects. */
 export const shareSuspectsReq = z.object({
@@ -100,7 +100,7 @@
 });
 
 /** Which core host's word on suspects a host has while nobody leads, and up to which change. */
-export const relayedReq = z.object({
+export const relayedUpdatesReq = z.object({
   hostId: z.string(),
   /** Changes when the core host has forgotten what it was told before. */
   epoch: z.int(),
@@ -109,17 +109,17 @@
 });
 
 /** What other hosts have told a core host of suspects; nothing while it hears a leader. */
-export const relayedRes = z.object({
+export const relayedUpdatesRes = z.object({
   relayed: z
     .object({
       epoch: z.int(),
-      changes: suspectNews.shape.changes,
+      changes: suspectUpdates.shape.changes,
     })
     .optional(),
 });
 
 /** What an entry host is told: only what it lacks. */
-export const newsRes = z.object({
+export const updatesRes = z.object({
   document: intents.declaredDocument.optional(),
   list: upstreamList.optional(),
   /** The list, packed once for all hosts. */
@@ -136,8 +136,8 @@
   cores: z.array(z.string()),
   /** How many entry hosts the leader hears. */
   entryHosts: z.int().optional(),
-  suspects: suspectNews.optional(),
-  evacuations: intents.evacuationFacts.optional(),
+  suspects: suspectUpdates.optional(),
+  evacuations: intents.evacuatedZones.optional(),
   /** For a host that has just started and hears a core host that does not lead: what is quarantined for certain. */
   quarantined: z.array(routing.suspectFacts).readonly().optional(),
 });
@@ -166,14 +166,14 @@
 });
 
 /** What became of a generation: its first event was seen, or it does not use its turn to be handed over. */
-export const runNote = z.object({
+export const generationEvent = z.object({
   service: z.string(),
   callId: z.string(),
   event: z.enum(['begun', 'turn-over']),
 });
 
 /** A generation that runs and can be handed over to another engine. */
-export const handOverReq = z.object({
+export const migrationReq = z.object({
   service: z.string(),
   callId: z.string(),
   engineId: z.string(),
@@ -184,13 +184,13 @@
 });
 
 /** Which engine takes it over now; nothing while its engine stays or others have their turn. */
-export const handOverRes = z.object({ takerId: z.string().optional() });
+export const migrationRes = z.object({ takerId: z.string().optional() });
 
 /** A host that has used its own retries up asks for one more. */
-export const borrowRetryReq = z.object({ service: z.string() });
+export const retryGrantReq = z.object({ service: z.string() });
 
 /** Whether it may. */
-export const borrowRetryRes = z.object({ isLent: z.boolean() });
+export const retryGrantRes = z.object({ isLent: z.boolean() });
 
 /** Where a generation was placed, or how full its pool is when it was not. */
 export const placeRes = z.object({
@@ -214,11 +214,11 @@
 /** A generation that is to be placed. */
 export type PlaceReq = z.infer<typeof placeReq>;
 /** What a host has learned of suspects. */
-export type KnownSuspects = z.infer<typeof knownSuspects>;
+export type SuspectCursor = z.infer<typeof suspectCursor>;
 /** What a leader tells of suspects. */
-export type SuspectNews = z.infer<typeof suspectNews>;
+export type SuspectUpdates = z.infer<typeof suspectUpdates>;
 /** What a run of a suspect has shown. */
-export type SuspectRun = z.infer<typeof suspectRun>;
+export type SuspectOutcome = z.infer<typeof suspectOutcome>;
 /** What runs at a host have shown. */
 export type SuspectReport = z.infer<typeof suspectReport>;
 /** All that a host knows of suspects. */
@@ -228,21 +228,21 @@
 /** A host wants to send a suspect to an upstream. */
 export type SuspectPermitReq = z.infer<typeof suspectPermitReq>;
 /** A host's open question for what others have told of suspects while nobody leads. */
-export type RelayedReq = z.infer<typeof relayedReq>;
+export type RelayedUpdatesReq = z.infer<typeof relayedUpdatesReq>;
 /** What others have told of suspects. */
-export type RelayedRes = z.infer<typeof relayedRes>;
+export type RelayedUpdatesRes = z.infer<typeof relayedUpdatesRes>;
 /** A host that needs one retry more. */
-export type BorrowRetryReq = z.infer<typeof borrowRetryReq>;
+export type RetryGrantReq = z.infer<typeof retryGrantReq>;
 /** Whether it may. */
-export type BorrowRetryRes = z.infer<typeof borrowRetryRes>;
+export type RetryGrantRes = z.infer<typeof retryGrantRes>;
 /** What became of a generation. */
-export type RunNote = z.infer<typeof runNote>;
+export type GenerationEvent = z.infer<typeof generationEvent>;
 /** A generation that can be handed over. */
-export type HandOverReq = z.infer<typeof handOverReq>;
+export type MigrationReq = z.infer<typeof migrationReq>;
 /** What tells it from others of its service. */
-export type OfferedRun = Omit<HandOverReq, 'service' | 'patienceMs'>;
+export type MigrationOffer = Omit<MigrationReq, 'service' | 'patienceMs'>;
 /** Which engine takes it over. */
-export type HandOverRes = z.infer<typeof handOverRes>;
+export type MigrationRes = z.infer<typeof migrationRes>;
 /** Where a generation was placed. */
 export type PlaceRes = z.infer<typeof placeRes>;
 /** A generation that runs no longer. */
@@ -252,13 +252,13 @@
 /** What a core host answers another. */
 export type HelloRes = z.infer<typeof helloRes>;
 /** An entry host's open question. */
-export type NewsReq = z.infer<typeof newsReq>;
+export type UpdatesReq = z.infer<typeof updatesReq>;
 /** The list of upstreams as the leader read it. */
 export type UpstreamList = z.infer<typeof upstreamList>;
 /** What has changed between two lists. */
 export type ListChanges = z.infer<typeof listChanges>;
 /** What an entry host is told. */
-export type NewsRes = z.infer<typeof newsRes>;
+export type UpdatesRes = z.infer<typeof updatesRes>;
 
 /** Packs the list for the hosts that are told. */
 export function packList(list: UpstreamList): Uint8Array {
@@ -271,12 +271,12 @@
 }
 
 /** The changes of the list that an answer brings. */
-export function findListChanges({ packedChanges }: NewsRes): ListChanges | undefined {
+export function findListChanges({ packedChanges }: UpdatesRes): ListChanges | undefined {
   return packedChanges && (peers.unpackValue(packedChanges) as ListChanges);
 }
 
 /** The list that an answer brings, packed or as it is; nothing when there is no other one. */
-export function findList({ list, packedList }: NewsRes): UpstreamList | undefined {
+export function findList({ list, packedList }: UpdatesRes): UpstreamList | undefined {
   return packedList === undefined ? list : (peers.unpackValue(packedList) as UpstreamList);
 }
 
@@ -287,18 +287,18 @@
   append(req: consensus.AppendReq): Promise<consensus.AppendRes>;
   snapshot(req: consensus.SnapshotReq): Promise<consensus.AppendRes>;
   hello(req: HelloReq): Promise<HelloRes>;
-  news(req: NewsReq): Promise<NewsRes>;
+  news(req: UpdatesReq): Promise<UpdatesRes>;
   /** Takes a document as the leader. */
   declare(document: intents.DeclaredDocument): Promise<intents.DeclareResult>;
   /** Places a generation, as the leader. */
   place(req: PlaceReq): Promise<PlaceRes>;
   /** Says when a generation is to be handed over, and where to, as the leader. */
-  awaitHandOver(req: HandOverReq): Promise<HandOverRes>;
+  awaitHandOver(req: MigrationReq): Promise<MigrationRes>;
   release(req: ReleaseReq): Promise<void>;
   /** Notes what became of a generation. */
-  noteRun(note: RunNote): Promise<void>;
+  noteRun(note: GenerationEvent): Promise<void>;
   /** Lends a retry, as the leader. */
-  borrowRetry(req: BorrowRetryReq): Promise<BorrowRetryRes>;
+  borrowRetry(req: RetryGrantReq): Promise<RetryGrantRes>;
   /** Takes what runs have shown of suspects, as the leader. */
   reportSuspects(req: SuspectReport): Promise<{ readonly term: number }>;
   /** Takes all that a host knows of suspects, as a leader that the host has just heard of. */
@@ -310,13 +310,13 @@
   /** Says whether a suspect may be sent, to a host that hears no leader. */
   relayPermit(req: SuspectPermitReq): Promise<routing.Permit>;
   /** Tells what others have told of suspects while nobody leads. */
-  awaitRelayed(req: RelayedReq): Promise<RelayedRes>;
+  awaitRelayed(req: RelayedUpdatesReq): Promise<RelayedUpdatesRes>;
   /** The newest document, as the leader. */
   read(): Promise<intents.DeclaredDocument | null>;
   /** Takes an order on an availability zone, as the leader. */
   evacuate(entry: intents.EvacuationEntry): Promise<intents.EvacuationResult>;
   /** Which availability zones are evacuated, as the leader. */
-  readEvacuations(): Promise<intents.EvacuationFacts>;
+  readEvacuations(): Promise<intents.EvacuatedZones>;
 }
 
 const t = trpc.initTRPC.create();
@@ -331,18 +331,18 @@
       .input(consensus.snapshotReq)
       .mutation(({ input }) => handlers.snapshot(input)),
     hello: t.procedure.input(helloReq).mutation(({ input }) => handlers.hello(input)),
-    news: t.procedure.input(newsReq).mutation(({ input }) => handlers.news(input)),
+    news: t.procedure.input(updatesReq).mutation(({ input }) => handlers.news(input)),
     declare: t.procedure
       .input(intents.declaredDocument)
       .mutation(({ input }) => handlers.declare(input)),
     place: t.procedure.input(placeReq).mutation(({ input }) => handlers.place(input)),
     awaitHandOver: t.procedure
-      .input(handOverReq)
+      .input(migrationReq)
       .mutation(({ input }) => handlers.awaitHandOver(input)),
     release: t.procedure.input(releaseReq).mutation(({ input }) => handlers.release(input)),
-    noteRun: t.procedure.input(runNote).mutation(({ input }) => handlers.noteRun(input)),
+    noteRun: t.procedure.input(generationEvent).mutation(({ input }) => handlers.noteRun(input)),
     borrowRetry: t.procedure
-      .input(borrowRetryReq)
+      .input(retryGrantReq)
       .mutation(({ input }) => handlers.borrowRetry(input)),
     reportSuspects: t.procedure
       .input(suspectReport)
@@ -360,7 +360,7 @@
       .input(suspectPermitReq)
       .mutation(({ input }) => handlers.relayPermit(input)),
     awaitRelayed: t.procedure
-      .input(relayedReq)
+      .input(relayedUpdatesReq)
       .mutation(({ input }) => handlers.awaitRelayed(input)),
     read: t.procedure.mutation(() => handlers.read()),
     evacuate: t.procedure
--- a/packages/gateway/src/crash-guard.ts
+++ b/packages/gateway/src/crash-guard.ts
@@ -4,7 +4,7 @@
 import type * as telemetry from '@bramleyridge/telemetry';
 
 import type * as routedJobs from './routed-job.js';
-import type * as suspectLinks from './suspect-link.js';
+import type * as suspectLinks from './suspect-client.js';
 import type * as upstreamDirectories from './upstream-directory.js';
 
 /** How long a run has to go on before it most likely has nothing to do with the end of its process, in milliseconds. */
@@ -17,7 +17,7 @@
 const CHECK_WAIT_MS = 30;
 
 /** How a run at an upstream ended. */
-export type RunEnd =
+export type RunOutcome =
   /** All of the answer came, and the upstream did not call it a failure. */
   | 'served'
   /** It broke off after it was handed over. */
@@ -31,13 +31,13 @@
 export interface GuardedRun {
   readonly known: upstreamDirectories.KnownUpstream;
   /** When its answer began; nothing when it had not. */
-  readonly begunAt: number | undefined;
+  readonly answerStartedAt: number | undefined;
 }
 
 /** Where a call may be sent: to the upstream that was picked, to another one, or to a certain one. */
-export type Granted =
+export type PermitDecision =
   | { readonly kind: 'go' | 'elsewhere' }
-  | { readonly kind: 'there'; readonly at: upstreamDirectories.KnownUpstream };
+  | { readonly kind: 'there'; readonly upstream: upstreamDirectories.KnownUpstream };
 
 /** The permit for a run of a suspect. */
 interface RunPermit {
@@ -48,9 +48,9 @@
 
 /** What the guard needs. */
 export interface CrashGuardOptions {
-  readonly link: suspectLinks.SuspectLink;
+  readonly suspects: suspectLinks.SuspectClient;
   readonly directory: upstreamDirectories.UpstreamDirectory;
-  readonly endCheck: requests.EndCheck;
+  readonly endCheck: requests.ProcessExitDetector;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly metrics: telemetry.MetricSink;
@@ -69,7 +69,7 @@
   private readonly permitted = new WeakMap<routedJobs.RoutedJob, RunPermit>();
 
   public constructor(private readonly options: CrashGuardOptions) {
-    options.link.attach(this.ledger);
+    options.suspects.attach(this.ledger);
   }
 
   /** Throws a refusal for a call that must not be sent; waits for what its last run shows. */
@@ -81,7 +81,7 @@
     if (this.ledger.size === 0) {
       return;
     }
-    const refused = this.ledger.findQuarantine(job.getDigest(), this.options.clock.now());
+    const refused = this.ledger.findQuarantineRefusal(job.getDigest(), this.options.clock.now());
     if (refused !== undefined) {
       throw this.refuse(job, refused);
     }
@@ -95,7 +95,7 @@
     job: routedJobs.RoutedJob,
     known: upstreamDirectories.KnownUpstream,
     mayShare: () => boolean,
-  ): Promise<Granted> {
+  ): Promise<PermitDecision> {
     if (!this.isTracked(job)) {
       return { kind: 'go' };
     }
@@ -116,15 +116,15 @@
       .listLive(job.call.service.name, job.call.regions)
       .find((other) => getProcessId(other) === permit.processId);
     // Its list may lack the one yet, or no longer have it. Then the next best is to keep it where it was picked to go.
-    return at === undefined ? { kind: 'go' } : { kind: 'there', at };
+    return at === undefined ? { kind: 'go' } : { kind: 'there', upstream: at };
   }
 
   /** Notes how a run ended. */
-  public note(job: routedJobs.RoutedJob, run: GuardedRun, end: RunEnd): void {
+  public recordOutcome(job: routedJobs.RoutedJob, run: GuardedRun, end: RunOutcome): void {
     const permitted = this.permitted.get(job);
     this.permitted.delete(job);
     if (end === 'not-run' && permitted !== undefined) {
-      this.options.link.keepPermit(permitted.permit);
+      this.options.suspects.keepUnusedPermit(permitted.permit);
     }
     if (end === 'lost') {
       this.startCheck(job, run, permitted?.isAlone ?? false);
@@ -135,8 +135,8 @@
     }
     const digest = job.getDigest();
     if (end === 'served') {
-      this.ledger.noteServed(digest);
-      this.options.link.report({ kind: 'served', digest });
+      this.ledger.clear(digest);
+      this.options.suspects.report({ kind: 'served', digest });
     } else {
       this.noteOver(digest, run);
     }
@@ -149,8 +149,8 @@
 
   private noteOver(digest: string, { known }: GuardedRun): void {
     const processId = getProcessId(known);
-    this.ledger.noteOver(digest, processId);
-    this.options.link.report({ kind: 'over', digest, processId });
+    this.ledger.recordInconclusiveRun(digest, processId);
+    this.options.suspects.report({ kind: 'over', digest, processId });
   }
 
   private startCheck(job: routedJobs.RoutedJob, run: GuardedRun, wasAlone: boolean): void {
@@ -169,8 +169,8 @@
     run: GuardedRun,
     wasAlone: boolean,
   ): Promise<void> {
-    const { clock, directory, endCheck, link, log } = this.options;
-    const { begunAt, known } = run;
+    const { clock, directory, endCheck, suspects: link, log } = this.options;
+    const { answerStartedAt: begunAt, known } = run;
     const { upstreamId } = known;
     const isEarly = begunAt === undefined || clock.now() - begunAt < SEASONED_MS;
     // One that leaves as announced ends under whatever it still runs.
@@ -178,8 +178,8 @@
     const digest = job.getDigest();
     const request = job.call.facts.requestId;
     log.info({ decision: 'run-lost', request, digest, upstream: upstreamId, isAnnounced, isEarly });
-    if (isAnnounced || !(await endCheck.hasEnded(known))) {
-      this.note(job, run, 'over');
+    if (isAnnounced || !(await endCheck.hasExited(known))) {
+      this.recordOutcome(job, run, 'over');
       return;
     }
     log.info({ event: 'process-ended', upstream: upstreamId, digest });
@@ -187,7 +187,7 @@
     const processId = getProcessId(known);
     // The host that gave the permit may have lost the lead meanwhile, and the next leader knows nothing of the run.
     const end = { processId, isEarly, wasAlone };
-    this.ledger.noteEnd(digest, end, clock.now());
+    this.ledger.recordProcessEnd(digest, end, clock.now());
     const noted = this.ledger.find(digest)?.ends.find((item) => item.processId === processId);
     link.report({ kind: 'ended', digest, end: noted ?? end });
   }
@@ -198,20 +198,20 @@
     processId: string,
     mayShare: boolean,
   ): Promise<routing.Permit> {
-    const { clock, link, log } = this.options;
-    const answer = await link.askPermit({ digest, processId, mayShare });
+    const { clock, suspects: link, log } = this.options;
+    const answer = await link.requestPermit({ digest, processId, mayShare });
     if (answer !== undefined) {
       return answer;
     }
     const permit = this.ledger.permitWithoutLeader(digest, processId, mayShare, clock.now());
     if (permit.kind !== 'refused') {
-      link.dropQuestion(digest);
+      link.dropPermitRequest(digest);
     }
     log.info({ decision: 'suspect-alone', digest, upstream: processId, ...permit });
     return permit;
   }
 
-  private refuse(job: routedJobs.RoutedJob, { retryMs }: routing.Refused): schemas.Refusal {
+  private refuse(job: routedJobs.RoutedJob, { retryMs }: routing.PermitRefusal): schemas.Refusal {
     const { log, metrics } = this.options;
     const id = 'quarantined';
     metrics.count('refusals', { reason: id });
--- a/packages/gateway/src/entry-table.ts
+++ b/packages/gateway/src/entry-host-registry.ts
@@ -4,13 +4,13 @@
 const GONE_MS = 3_000;
 
 /** The entry hosts that ask this core host for news. */
-export class EntryTable {
+export class EntryHostRegistry {
   private readonly heardAt = new Map<string, number>();
 
   public constructor(private readonly clock: schemas.Clock) {}
 
   /** Notes a question. */
-  public hear(hostId: string): void {
+  public recordRequest(hostId: string): void {
     this.heardAt.set(hostId, this.clock.now());
   }
 
--- a/packages/gateway/src/entry-host.ts
+++ b/packages/gateway/src/entry-host.ts
@@ -7,22 +7,22 @@
 import type * as telemetry from '@bramleyridge/telemetry';
 
 import * as callAdmissions from './call-admission.js';
-import * as coreLinks from './core-link.js';
+import * as coreLinks from './update-poller.js';
 import * as coreMeshes from './core-mesh.js';
 import * as procedures from './core-procedures.js';
 import * as crashGuards from './crash-guard.js';
 import * as entryListReaders from './entry-list-reader.js';
-import * as faceServers from './face-server.js';
+import * as faceServers from './http-listener.js';
 import * as hostSettings from './host-settings.js';
-import type * as listReaders from './list-reader.js';
-import * as poolClients from './pool-client.js';
+import type * as listReaders from './upstream-list-reader.js';
+import * as poolClients from './placement-client.js';
 import type * as ports from './ports.js';
-import * as relayClients from './relay-client.js';
+import * as relayClients from './suspect-relay-client.js';
 import * as retryShares from './retry-shares.js';
 import * as routedFlows from './routed-flow.js';
-import * as routedStores from './routed-store.js';
-import type * as settingsWatches from './settings-watch.js';
-import * as suspectLinks from './suspect-link.js';
+import * as routedStores from './routed-configuration-store.js';
+import type * as settingsWatches from './settings-watcher.js';
+import * as suspectLinks from './suspect-client.js';
 import * as upstreamDirectories from './upstream-directory.js';
 import * as upstreamPickers from './upstream-picker.js';
 
@@ -52,11 +52,11 @@
 
 /** What an entry host needs besides its settings. */
 export interface EntryHostOptions {
-  readonly settings: settingsWatches.SettingsWatch;
+  readonly settings: settingsWatches.SettingsWatcher;
   readonly wire: ports.CallWire;
   readonly codec: ports.DocumentCodec;
   readonly source: ports.UpstreamSource;
-  readonly engines: ports.EngineOrders;
+  readonly engines: ports.EngineControl;
   /** The path at which the balancer asks whether this host is ready. */
   readonly readyPath: string;
   readonly clock: schemas.Clock;
@@ -67,20 +67,20 @@
 
 /** An entry host: admits, sends and delivers the calls of its callers. */
 export class EntryHost {
-  public readonly store: routedStores.RoutedStore;
+  public readonly store: routedStores.RoutedConfigurationStore;
   public readonly directory: upstreamDirectories.UpstreamDirectory;
   private readonly evacuations = new intents.EvacuationState();
   private readonly mesh = new coreMeshes.CoreMesh(PEER_DEADLINE_MS);
-  private readonly link: coreLinks.CoreLink;
-  private readonly reader: listReaders.ListReader;
+  private readonly link: coreLinks.UpdatePoller;
+  private readonly reader: listReaders.UpstreamListReader;
   private readonly client: requests.UpstreamClient;
   private readonly shares: retryShares.RetryShares;
-  private readonly suspects: suspectLinks.SuspectLink;
+  private readonly suspects: suspectLinks.SuspectClient;
   private readonly picker: upstreamPickers.UpstreamPicker;
   private readonly flow: routedFlows.RoutedFlow;
   private readonly drain: requests.Drain;
-  private readonly callers: faceServers.FaceServer;
-  private readonly readiness: faceServers.FaceServer;
+  private readonly callers: faceServers.HttpListener;
+  private readonly readiness: faceServers.HttpListener;
   /** Until when calls are taken, on this host's clock. */
   private takesUntil = Infinity;
   /** How many entry hosts there are, as a leader has told. */
@@ -93,7 +93,7 @@
     const { clock, codec, log, random, source, wire } = options;
     const settings = options.settings.get();
     const { availabilityZone } = settings;
-    this.store = new routedStores.RoutedStore(codec, log);
+    this.store = new routedStores.RoutedConfigurationStore(codec, log);
     this.directory = new upstreamDirectories.UpstreamDirectory(
       clock,
       log,
@@ -106,7 +106,7 @@
     });
     this.drain = new requests.Drain(clock);
     this.link = this.createLink();
-    const pools = new poolClients.PoolClient({
+    const pools = new poolClients.PlacementClient({
       mesh: this.mesh,
       findLeader: () => this.link.findLeader(),
       clock,
@@ -115,10 +115,10 @@
     this.shares = new retryShares.RetryShares(
       clock,
       () => ({ ...options.settings.get().bounds, entryHosts: this.entryHosts }),
-      (service) => pools.borrowRetry(service),
+      (service) => pools.requestRetry(service),
       options.metrics,
     );
-    this.suspects = new suspectLinks.SuspectLink({
+    this.suspects = new suspectLinks.SuspectClient({
       mesh: this.mesh,
       findLeader: () => this.link.findLeader(),
       hostId: settings.hostId,
@@ -127,18 +127,18 @@
       log,
     });
     const guard = new crashGuards.CrashGuard({
-      link: this.suspects,
+      suspects: this.suspects,
       directory: this.directory,
-      endCheck: new requests.EndCheck(clock),
+      endCheck: new requests.ProcessExitDetector(clock),
       clock,
       log,
       metrics: options.metrics,
     });
     this.picker = new upstreamPickers.UpstreamPicker({
       directory: this.directory,
-      pools,
+      placer: pools,
       availabilityZone,
-      coldShare: new routing.ColdShare(settings.hostId, () => this.entryHosts),
+      coldShare: new routing.ColdSendQuota(settings.hostId, () => this.entryHosts),
       clock,
       log,
       random,
@@ -165,11 +165,11 @@
       random,
       getSettings: () => options.settings.get(),
       reachesLeader: () => this.link.reachesLeader(),
-      getEntryHosts: () => this.entryHosts ?? ASSUMED_ENTRY_HOSTS,
+      countEntryHosts: () => this.entryHosts ?? ASSUMED_ENTRY_HOSTS,
       getPeriodMs: () => this.listPeriodMs,
     });
-    this.callers = new faceServers.FaceServer((req, res) => this.serve(req, res));
-    this.readiness = new faceServers.FaceServer((req, res) => this.showReady(req, res));
+    this.callers = new faceServers.HttpListener((req, res) => this.serve(req, res));
+    this.readiness = new faceServers.HttpListener((req, res) => this.showReady(req, res));
     this.watchLevels();
   }
 
@@ -187,7 +187,7 @@
   /** Whether the balancer may send callers here. */
   public isReady(): boolean {
     const isStopping = this.drain.isDraining();
-    return this.store.findTable() !== undefined && this.directory.isKnown() && !isStopping;
+    return this.store.findTable() !== undefined && this.directory.hasList() && !isStopping;
   }
 
   /** A planned stop: readiness fails first, and every call is finished. */
@@ -265,10 +265,10 @@
     requests.sendJson(res, isPath ? status : 404, { version: this.store.getVersion() });
   }
 
-  private createRelays(hostId: string): relayClients.RelayClient {
+  private createRelays(hostId: string): relayClients.SuspectRelayClient {
     const { clock, log } = this.options;
     const { link, mesh } = this;
-    return new relayClients.RelayClient({
+    return new relayClients.SuspectRelayClient({
       mesh,
       hostId,
       listCores: () => link.listCores(),
@@ -279,29 +279,29 @@
     });
   }
 
-  private createLink(): coreLinks.CoreLink {
+  private createLink(): coreLinks.UpdatePoller {
     const { clock, log, random, settings } = this.options;
-    return new coreLinks.CoreLink({
+    return new coreLinks.UpdatePoller({
       mesh: this.mesh,
       listSeeds: () => hostSettings.listSeedIds(settings.get()),
       clock,
       log,
       random,
-      createAsk: (waitMs) => ({
+      createRequest: (waitMs) => ({
         hostId: settings.get().hostId,
         version: this.store.getVersion(),
         listStamp: this.directory.getStamp(),
         waitMs,
         takesPacked: true,
         takesChanges: true,
-        suspects: this.suspects.getKnown(),
+        suspects: this.suspects.getReceivedRevision(),
         evacuationRevision: this.evacuations.get().revision,
       }),
-      take: (news, isTrusted) => this.takeNews(news, isTrusted),
+      onUpdates: (news, isTrusted) => this.takeNews(news, isTrusted),
     });
   }
 
-  private takeNews(news: procedures.NewsRes, isTrusted: boolean): void {
+  private takeNews(news: procedures.UpdatesRes, isTrusted: boolean): void {
     if (news.document !== undefined) {
       this.store.offer(news.document);
     }
@@ -314,15 +314,15 @@
     const list = procedures.findList(news);
     const changes = procedures.findListChanges(news);
     if (list !== undefined) {
-      this.directory.take(list, news.listAgeMs ?? 0);
+      this.directory.applyList(list, news.listAgeMs ?? 0);
     } else if (changes !== undefined) {
-      this.directory.takeChanges(changes, news.listAgeMs ?? 0);
+      this.directory.applyChanges(changes, news.listAgeMs ?? 0);
     } else if (news.listAgeMs !== undefined) {
-      this.directory.vouch(news.listAgeMs);
+      this.directory.confirmCurrent(news.listAgeMs);
     }
-    this.suspects.takeQuarantined(news.quarantined ?? []);
+    this.suspects.applyQuarantined(news.quarantined ?? []);
     if (news.suspects !== undefined) {
-      this.suspects.take(news.suspects);
+      this.suspects.applyUpdates(news.suspects);
     }
     this.listPeriodMs = news.listPeriodMs ?? this.listPeriodMs;
     this.entryHosts = news.entryHosts ?? this.entryHosts;
@@ -332,7 +332,7 @@
     }
   }
 
-  private takeEvacuations(facts: intents.EvacuationFacts): void {
+  private takeEvacuations(facts: intents.EvacuatedZones): void {
     if (this.evacuations.restore(facts)) {
       this.options.log.info({ event: 'evacuations-in-force', ...facts });
     }
--- a/packages/gateway/src/entry-list-reader.ts
+++ b/packages/gateway/src/entry-list-reader.ts
@@ -1,6 +1,6 @@
 import type * as schemas from '@bramleyridge/schemas';
 
-import * as listReaders from './list-reader.js';
+import * as listReaders from './upstream-list-reader.js';
 import type * as ports from './ports.js';
 import type * as upstreamDirectories from './upstream-directory.js';
 
@@ -17,7 +17,7 @@
 const LEADER_MS = 12_000;
 
 /** What reading the list on an entry host needs. */
-export interface EntryListOptions {
+export interface EntryListReaderOptions {
   readonly source: ports.UpstreamSource;
   readonly directory: upstreamDirectories.UpstreamDirectory;
   readonly clock: schemas.Clock;
@@ -25,13 +25,15 @@
   readonly random: () => number;
   readonly getSettings: () => { readonly listAddress: string; readonly listCallsPerS: number };
   readonly reachesLeader: () => boolean;
-  readonly getEntryHosts: () => number;
+  readonly countEntryHosts: () => number;
   /** The pause between two readings by the leader, in milliseconds. */
   readonly getPeriodMs: () => number;
 }
 
 /** Reads the list on an entry host, as long as no leader hands it on. */
-export function createEntryListReader(options: EntryListOptions): listReaders.ListReader {
+export function createEntryListReader(
+  options: EntryListReaderOptions,
+): listReaders.UpstreamListReader {
   const { clock, directory, getSettings, random, reachesLeader } = options;
   const startedAt = clock.now();
   const startMs = START_MS * (1 + random());
@@ -40,22 +42,22 @@
     return ranMs > (reachesLeader() ? LEADER_MS : startMs);
   };
   const getPauseMs = (calls: number) => {
-    const ownCallsPerS = (getSettings().listCallsPerS * LIST_SHARE) / options.getEntryHosts();
+    const ownCallsPerS = (getSettings().listCallsPerS * LIST_SHARE) / options.countEntryHosts();
     return Math.max(listReaders.STALE_MS / 4, (calls * 1_000) / ownCallsPerS);
   };
-  return new listReaders.ListReader({
+  return new listReaders.UpstreamListReader({
     source: options.source,
     clock,
     log: options.log,
     random,
-    givesWay: true,
+    backsOff: true,
     getAddress: () => getSettings().listAddress,
     getCallsPerS: () => getSettings().listCallsPerS,
-    isDue: () =>
-      directory.isKnown()
+    isActive: () =>
+      directory.hasList()
         ? directory.getAgeMs() > listReaders.getStaleMs(options.getPeriodMs())
         : isDueFirst(),
     getPauseMs,
-    take: (list) => directory.take(list, 0),
+    onList: (list) => directory.applyList(list, 0),
   });
 }
--- a/packages/gateway/src/entry-news.ts
+++ b/packages/gateway/src/entry-update-service.ts
@@ -3,11 +3,11 @@
 
 import type * as coreGroups from './core-group.js';
 import type * as procedures from './core-procedures.js';
-import type * as coreTables from './core-table.js';
-import type * as entryTables from './entry-table.js';
-import type * as listDesks from './list-desk.js';
-import type * as suspectDesks from './suspect-desk.js';
-import * as suspectLinks from './suspect-link.js';
+import type * as coreTables from './core-host-registry.js';
+import type * as entryTables from './entry-host-registry.js';
+import type * as listDesks from './upstream-list-service.js';
+import type * as suspectDesks from './suspect-registry.js';
+import * as suspectLinks from './suspect-client.js';
 
 /**
  * How long a leader leads before it tells how many entry hosts there are, in milliseconds: each of them has asked by then.
@@ -19,21 +19,21 @@
 const LEAD_CHECK_MS = 50;
 
 /** Where news for entry hosts comes from. */
-export interface EntryNewsOptions {
+export interface EntryUpdateServiceOptions {
   readonly group: coreGroups.CoreGroup;
-  readonly table: coreTables.CoreTable;
-  readonly entries: entryTables.EntryTable;
-  readonly lists: listDesks.ListDesk;
-  readonly suspects: suspectDesks.SuspectDesk;
+  readonly registry: coreTables.CoreHostRegistry;
+  readonly entries: entryTables.EntryHostRegistry;
+  readonly lists: listDesks.UpstreamListService;
+  readonly suspects: suspectDesks.SuspectRegistry;
   readonly clock: schemas.Clock;
 }
 
 /** Tells entry hosts what they lack: any core host what the log holds, the leader also what it knows besides. */
-export class EntryNews {
+export class EntryUpdateService {
   private readonly leadLost = new schemas.ChangeSignal();
   private isStopped = false;
 
-  public constructor(private readonly options: EntryNewsOptions) {}
+  public constructor(private readonly options: EntryUpdateServiceOptions) {}
 
   /** Watches whether this host loses the lead, until stopped. */
   public async run(): Promise<void> {
@@ -53,9 +53,9 @@
   }
 
   /** Answers an entry host: at once when there is news, else when its wait is over. */
-  public async answer(req: procedures.NewsReq): Promise<procedures.NewsRes> {
+  public async answer(req: procedures.UpdatesReq): Promise<procedures.UpdatesRes> {
     const { clock, entries, group, lists, suspects } = this.options;
-    entries.hear(req.hostId);
+    entries.recordRequest(req.hostId);
     const end = clock.now() + req.waitMs;
     const wasLeading = group.isLeading();
     // A host that waited on a leader without the lead would not look for another one, nor hear of suspects.
@@ -72,7 +72,7 @@
     return this.create(req);
   }
 
-  private hasNews(req: procedures.NewsReq): boolean {
+  private hasNews(req: procedures.UpdatesReq): boolean {
     const version = this.options.group.state.get()?.version ?? -1;
     return (
       version > req.version ||
@@ -82,8 +82,8 @@
     );
   }
 
-  private create(req: procedures.NewsReq): procedures.NewsRes {
-    const { entries, group, lists, table } = this.options;
+  private create(req: procedures.UpdatesReq): procedures.UpdatesRes {
+    const { entries, group, lists, registry: table } = this.options;
     const document = group.state.get();
     const isLeading = group.isLeading();
     const list = this.findNewList(req);
@@ -94,7 +94,7 @@
     return {
       document: document !== undefined && document.version > req.version ? document : undefined,
       list: isWhole && !isPacked ? list : undefined,
-      packedList: isPacked ? lists.getPacked() : undefined,
+      packedList: isPacked ? lists.getPackedList() : undefined,
       packedChanges,
       listAgeMs: isLeading ? lists.getAgeMs() : undefined,
       listPeriodMs: isLeading ? lists.getPeriodMs() : undefined,
@@ -116,23 +116,23 @@
     return group.isLeading() && clock.now() - group.getLeadership().startedAt >= COUNT_MS;
   }
 
-  private findSuspectNews(req: procedures.NewsReq): procedures.SuspectNews | undefined {
+  private findSuspectNews(req: procedures.UpdatesReq): procedures.SuspectUpdates | undefined {
     const { group, suspects } = this.options;
     if (req.suspects === undefined || !group.isLeading()) {
       return undefined;
     }
     const { term } = group.getLeadership();
-    suspects.lead(term);
-    return suspects.findNews(req.suspects, term);
+    suspects.startLeading(term);
+    return suspects.findUpdates(req.suspects, term);
   }
 
-  private findNewEvacuations(req: procedures.NewsReq): intents.EvacuationFacts | undefined {
+  private findNewEvacuations(req: procedures.UpdatesReq): intents.EvacuatedZones | undefined {
     const facts = this.options.group.evacuations.get();
     const known = req.evacuationRevision ?? facts.revision;
     return facts.revision > known ? facts : undefined;
   }
 
-  private findNewList(req: procedures.NewsReq): procedures.UpstreamList | undefined {
+  private findNewList(req: procedures.UpdatesReq): procedures.UpstreamList | undefined {
     const list = this.options.lists.getList();
     const isNew = this.options.group.isLeading() && list?.stamp !== req.listStamp;
     return isNew ? list : undefined;
--- a/packages/gateway/src/evacuation-orders.ts
+++ b/packages/gateway/src/evacuation-service.ts
@@ -8,7 +8,7 @@
 const ORDER_MS = 1_000;
 
 /** What taking orders needs. */
-export interface EvacuationOrdersOptions {
+export interface EvacuationServiceOptions {
   readonly group: coreGroups.CoreGroup;
   readonly leader: leaderClients.LeaderClient;
   /** The availability zones of the deployment; nothing where the settings don't name them. */
@@ -18,18 +18,18 @@
 }
 
 /** Takes operators' orders on availability zones, at whichever core host the operator reached. */
-export class EvacuationOrders {
-  public constructor(private readonly options: EvacuationOrdersOptions) {}
+export class EvacuationService {
+  public constructor(private readonly options: EvacuationServiceOptions) {}
 
   /**
    * Orders that a zone gets no new work, or takes work again; resolves once a majority has synced it. The signal tells
    * that the operator has left: the order may have been sent again, and withdrawn, through another host.
    */
-  public async order(
+  public async setEvacuated(
     availabilityZone: string,
     isEvacuated: boolean,
     signal: AbortSignal,
-  ): Promise<intents.EvacuationFacts> {
+  ): Promise<intents.EvacuatedZones> {
     this.checkZone(availabilityZone);
     const { clock, log } = this.options;
     const end = clock.now() + ORDER_MS;
@@ -51,21 +51,21 @@
   }
 
   /** Puts an order into the log, as the leader. */
-  public async orderHere(entry: intents.EvacuationEntry): Promise<intents.EvacuationResult> {
+  public async proposeAsLeader(entry: intents.EvacuationEntry): Promise<intents.EvacuationResult> {
     const { result } = await this.options.group.getLeadership().propose(entry);
     return result as intents.EvacuationResult;
   }
 
   /** Which zones are evacuated, as the leader; a majority confirms first that it still leads. */
-  public async readHere(): Promise<intents.EvacuationFacts> {
+  public async readAsLeader(): Promise<intents.EvacuatedZones> {
     await this.options.group.getLeadership().barrier();
     return this.options.group.evacuations.get();
   }
 
-  private read(end: number, signal: AbortSignal): Promise<intents.EvacuationFacts> {
+  private read(end: number, signal: AbortSignal): Promise<intents.EvacuatedZones> {
     const { clock, leader } = this.options;
-    return leader.ask(
-      () => this.readHere(),
+    return leader.request(
+      () => this.readAsLeader(),
       (api, options) => api.readEvacuations.mutate(undefined, options),
       end - clock.now(),
       signal,
@@ -78,8 +78,8 @@
     signal: AbortSignal,
   ): Promise<void> {
     const { clock, leader } = this.options;
-    await leader.ask(
-      () => this.orderHere({ evacuation }),
+    await leader.request(
+      () => this.proposeAsLeader({ evacuation }),
       (api, options) => api.evacuate.mutate({ evacuation }, options),
       end - clock.now(),
       signal,
--- a/packages/gateway/src/generation-calls.ts
+++ b/packages/gateway/src/generation-calls.ts
@@ -6,10 +6,10 @@
 const MEAN_SHARE_OF_MOST = 0.5;
 
 /** Whether a copy of a call's generation is worth keeping while it runs. */
-export function wantsCopy(call: callAdmissions.AdmittedCall): boolean {
+export function wantsBackup(call: callAdmissions.AdmittedCall): boolean {
   const { engine } = call.service;
   const canCopy = isGeneration(call) && engine?.canBackUp === true && engine.canMove;
-  return canCopy && getAnswerTokens(call) > routing.SHORT_ANSWER_TOKENS;
+  return canCopy && getExpectedAnswerTokens(call) > routing.SHORT_ANSWER_TOKENS;
 }
 
 /** Whether a call is a generation on an engine. */
@@ -19,11 +19,11 @@
 
 /** The memory that a call is expected to fill on an engine, in tokens; 0 for calls that are no generations. */
 export function getExpectedTokens(call: callAdmissions.AdmittedCall): number {
-  return (call.facts.generation?.promptTokens ?? 0) + getAnswerTokens(call);
+  return (call.facts.generation?.promptTokens ?? 0) + getExpectedAnswerTokens(call);
 }
 
 /** The tokens that a call's answer is expected to have; 0 for calls that are no generations. */
-export function getAnswerTokens({ facts }: callAdmissions.AdmittedCall): number {
+export function getExpectedAnswerTokens({ facts }: callAdmissions.AdmittedCall): number {
   if (facts.generation === undefined) {
     return 0;
   }
@@ -32,7 +32,7 @@
 }
 
 /** The rank of a generation, the team's or the route's; 0 goes first. */
-export function getRank({ route, team }: callAdmissions.AdmittedCall): number {
+export function getPriority({ route, team }: callAdmissions.AdmittedCall): number {
   return team?.urgency ?? route.urgency;
 }
 
@@ -41,9 +41,9 @@
  * the same: an engine whose memory runs out preempts the less urgent ones, so that a check of a few tokens had the 3,000
  * of a running draft read again. Without ranks half as many were preempted, 16 instead of 34 in eight days at six engines.
  */
-export function getUrgency(
+export function getEnginePriority(
   call: callAdmissions.AdmittedCall,
   isAlone: boolean,
 ): number | undefined {
-  return isGeneration(call) && isAlone ? getRank(call) : undefined;
+  return isGeneration(call) && isAlone ? getPriority(call) : undefined;
 }
--- a/packages/gateway/src/face-server.ts
+++ b/packages/gateway/src/http-listener.ts
@@ -10,13 +10,13 @@
 const MAX_HEADER_BYTES = 65_536;
 
 /** Answers one request; it never rejects. */
-export type HandleRequest = (req: http.IncomingMessage, res: http.ServerResponse) => void;
+export type RequestHandler = (req: http.IncomingMessage, res: http.ServerResponse) => void;
 
 /** An HTTP server on an address of the settings. */
-export class FaceServer {
+export class HttpListener {
   private readonly server: http.Server;
 
-  public constructor(handle: HandleRequest) {
+  public constructor(handle: RequestHandler) {
     this.server = http.createServer(
       {
         maxHeaderSize: MAX_HEADER_BYTES,
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,9 +1,9 @@
 /** Routed traffic: the entry host and the core host, with the ports to whoever speaks. */
 export * from './core-host.js';
 export * from './entry-host.js';
-export * from './evacuation-orders.js';
-export * from './face-server.js';
+export * from './evacuation-service.js';
+export * from './http-listener.js';
 export * from './host-settings.js';
-export * from './operator-desk.js';
+export * from './operator-service.js';
 export * from './ports.js';
-export * from './settings-watch.js';
+export * from './settings-watcher.js';
--- a/packages/gateway/src/leader-client.ts
+++ b/packages/gateway/src/leader-client.ts
@@ -2,7 +2,7 @@
 
 import type * as coreGroups from './core-group.js';
 import type * as coreMeshes from './core-mesh.js';
-import type * as coreTables from './core-table.js';
+import type * as coreTables from './core-host-registry.js';
 
 /**
  * How long the leader may take over an order that another host hands it, in milliseconds: operators ask elsewhere
@@ -14,7 +14,7 @@
 const PAUSE_MS = 50;
 
 /** How a question to another host is limited. */
-export interface AskOptions {
+export interface RequestOptions {
   readonly context: { readonly deadlineMs: number };
 }
 
@@ -22,7 +22,7 @@
 export interface LeaderClientOptions {
   readonly coreId: string;
   readonly group: coreGroups.CoreGroup;
-  readonly table: coreTables.CoreTable;
+  readonly table: coreTables.CoreHostRegistry;
   readonly mesh: coreMeshes.CorePeers;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
@@ -33,9 +33,9 @@
   public constructor(private readonly options: LeaderClientOptions) {}
 
   /** Asks until the time is over or the signal aborts; what is asked must bear being asked again. */
-  public async ask<T>(
+  public async request<T>(
     here: () => Promise<T>,
-    there: (api: coreMeshes.CoreApi, options: AskOptions) => Promise<T>,
+    there: (api: coreMeshes.CoreApi, options: RequestOptions) => Promise<T>,
     durationMs: number,
     signal?: AbortSignal,
   ): Promise<T> {
--- a/packages/gateway/src/leaving-watch.ts
+++ b/packages/gateway/src/leaving-engine-monitor.ts
@@ -22,22 +22,22 @@
 const MOST_ASKED = 80;
 
 /** What the watch needs. */
-export interface LeavingWatchOptions {
+export interface LeavingEngineMonitorOptions {
   readonly probe: ports.UpstreamProbe;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   /** Whether this host is the one that should ask. */
-  readonly isDue: () => boolean;
+  readonly isActive: () => boolean;
   /** The pause between two rounds, in milliseconds. */
   readonly pauseMs: number;
   /** All engines, with the path of their health answer. */
-  readonly listEngines: () => readonly WatchedEngine[];
+  readonly listEngines: () => readonly MonitoredEngine[];
   /** Called when some engine's word has changed. */
   readonly onChange: () => void;
 }
 
 /** An engine that is asked. */
-export interface WatchedEngine {
+export interface MonitoredEngine {
   readonly upstreamId: string;
   readonly address: string;
   readonly healthPath: string;
@@ -50,17 +50,17 @@
  * list shows that a second late, and copying the memory of its runs takes the other: of 16 drafts that were lost so
  * on a heavy day 13 had their copy under way. Asked directly it says so at once.
  */
-export class LeavingWatch {
+export class LeavingEngineMonitor {
   private readonly saidAt = new Map<string, number>();
   private isStopped = false;
   /** Where the next round begins, when there are too many to ask at once. */
   private nextAsked = 0;
 
-  public constructor(private readonly options: LeavingWatchOptions) {}
+  public constructor(private readonly options: LeavingEngineMonitorOptions) {}
 
   /** Asks until stopped. */
   public async run(): Promise<void> {
-    const { clock, isDue, listEngines, pauseMs } = this.options;
+    const { clock, isActive: isDue, listEngines, pauseMs } = this.options;
     while (!this.isStopped) {
       if (isDue()) {
         const engines = listEngines();
@@ -85,7 +85,7 @@
   }
 
   /** The engines to ask in this round: of too many those on which something runs, and of too many of these each in turn. */
-  private chooseAsked(engines: readonly WatchedEngine[]): readonly WatchedEngine[] {
+  private chooseAsked(engines: readonly MonitoredEngine[]): readonly MonitoredEngine[] {
     if (engines.length <= MOST_ASKED) {
       return engines;
     }
@@ -95,7 +95,7 @@
     return [...asked.slice(first), ...asked.slice(0, first)].slice(0, MOST_ASKED);
   }
 
-  private async ask(engine: WatchedEngine): Promise<void> {
+  private async ask(engine: MonitoredEngine): Promise<void> {
     const { log, probe } = this.options;
     const { address, healthPath, upstreamId } = engine;
     try {
@@ -107,7 +107,7 @@
     }
   }
 
-  private take({ upstreamId }: WatchedEngine, saysLeaving: boolean): void {
+  private take({ upstreamId }: MonitoredEngine, saysLeaving: boolean): void {
     const { clock, log, onChange } = this.options;
     if (saysLeaving && this.getAgeMs(upstreamId) > DISBELIEF_MS) {
       this.saidAt.set(upstreamId, clock.now());
@@ -124,7 +124,7 @@
     return this.options.clock.now() - (this.saidAt.get(upstreamId) ?? -Infinity);
   }
 
-  private forgetAllBut(engines: readonly WatchedEngine[]): void {
+  private forgetAllBut(engines: readonly MonitoredEngine[]): void {
     const known = new Set(engines.map(({ upstreamId }) => upstreamId));
     [...this.saidAt.keys()]
       .filter((upstreamId) => !known.has(upstreamId))
--- a/packages/gateway/src/seat-keeper.ts
+++ b/packages/gateway/src/membership-manager.ts
@@ -1,7 +1,7 @@
 import * as consensus from '@bramleyridge/consensus';
 import * as schemas from '@bramleyridge/schemas';
 
-import type * as coreTables from './core-table.js';
+import type * as coreTables from './core-host-registry.js';
 
 /** How often the leader looks the seats over, in milliseconds. */
 const SEATS_MS = 300;
@@ -32,11 +32,11 @@
 const LEAVE_POLL_MS = 20;
 
 /** What keeping the seats needs. */
-export interface SeatKeeperOptions {
+export interface MembershipManagerOptions {
   readonly coreId: string;
   readonly availabilityZone: string;
-  readonly wantedSeats: number;
-  readonly table: coreTables.CoreTable;
+  readonly voterSlotCount: number;
+  readonly registry: coreTables.CoreHostRegistry;
   readonly findVoter: () => consensus.Voter | undefined;
   /** Whether this host leads and a majority has lately confirmed it. */
   readonly isLeading: () => boolean;
@@ -45,13 +45,13 @@
 }
 
 /** As the leader, gives the seats of hosts that are lost or leave to others; on any host, gives its own up when it stops. */
-export class SeatKeeper {
+export class MembershipManager {
   /** Whether this host is about to stop and wants no seat. */
   public isLeaving = false;
   private notedSilent = '';
   private readonly avoidedUntil = new Map<string, number>();
 
-  public constructor(private readonly options: SeatKeeperOptions) {}
+  public constructor(private readonly options: MembershipManagerOptions) {}
 
   /** Looks the seats over until stopped. */
   public async run(signal: AbortSignal): Promise<void> {
@@ -87,24 +87,24 @@
     if (voter === undefined || voter.stopped || voter.leader === undefined || !isNeeded(voter)) {
       return false;
     }
-    const { former, seats } = voter.entries.getSeating();
+    const { former, seats } = voter.entries.getVoterSet();
     const isUnderWay = former !== undefined || !isIn(seats, voter);
     const spare = this.listLive().find((host) => host.isLeaving !== true && !isIn(seats, host));
     return isUnderWay || spare !== undefined;
   }
 
-  private listLive(): consensus.SeatCandidate[] {
-    return this.options.table.listCandidates().filter((host) => host.silentMs <= SEAT_LIVE_MS);
+  private listLive(): consensus.VoterSlotCandidate[] {
+    return this.options.registry.listCandidates().filter((host) => host.silentMs <= SEAT_LIVE_MS);
   }
 
   /** While a seat is silent the log bears one loss less; how many are left is what somebody on call needs first. */
   private noteSilentSeats(leadership: consensus.Leadership): void {
-    const silent = leadership.listSilentSeats().map((seat) => seat.daemonId);
+    const silent = leadership.listLaggingVoters().map((seat) => seat.daemonId);
     if (silent.join() === this.notedSilent) {
       return;
     }
     this.notedSilent = silent.join();
-    const lossesBorne = leadership.countLossesBorne();
+    const lossesBorne = leadership.countTolerableLosses();
     const hostsHeard = this.listLive().length;
     this.options.log.warn({ event: 'seats-silent', silent, lossesBorne, hostsHeard });
   }
@@ -113,9 +113,9 @@
     const { clock, log } = this.options;
     let added: string[] = [];
     let removed: string[] = [];
-    let newcomers: consensus.VoterSeat[] = [];
+    let newcomers: consensus.VoterSlot[] = [];
     try {
-      await leadership.seat((seats) => {
+      await leadership.changeVoters((seats) => {
         const next = this.plan(voter, leadership, seats);
         if (next !== undefined) {
           newcomers = without(next, seats);
@@ -131,7 +131,7 @@
       return;
     }
     if (added.length + removed.length > 0) {
-      const lossesBorne = leadership.countLossesBorne();
+      const lossesBorne = leadership.countTolerableLosses();
       log.info({ event: 'seated', peer: added.join(), instead: removed.join(), lossesBorne });
     }
   }
@@ -139,9 +139,9 @@
   private plan(
     voter: consensus.Voter,
     leadership: consensus.Leadership,
-    seats: readonly consensus.VoterSeat[],
-  ): readonly consensus.VoterSeat[] | undefined {
-    const { availabilityZone, coreId, table, wantedSeats } = this.options;
+    seats: readonly consensus.VoterSlot[],
+  ): readonly consensus.VoterSlot[] | undefined {
+    const { availabilityZone, coreId, registry: table, voterSlotCount: wantedSeats } = this.options;
     const { isLeaving } = this;
     const own = {
       daemonId: coreId,
@@ -155,12 +155,12 @@
       ...seat,
       silentMs: this.getSilentMs(leadership, seat, candidates),
     }));
-    return consensus.planSeats({
+    return consensus.planVoterSlots({
       // The leader first: where there are too many to choose from it stays, and nobody has to be elected.
-      seats: held.sort((a, b) => Number(isOf(b, own)) - Number(isOf(a, own))),
+      slots: held.sort((a, b) => Number(isOf(b, own)) - Number(isOf(a, own))),
       candidates: candidates.filter((host) => !this.isAvoided(host)),
-      wanted: wantedSeats,
-      patienceMs: SEAT_PATIENCE_MS,
+      slotCount: wantedSeats,
+      replaceAfterMs: SEAT_PATIENCE_MS,
       liveMs: SEAT_LIVE_MS,
     });
   }
@@ -171,15 +171,15 @@
    */
   private getSilentMs(
     leadership: consensus.Leadership,
-    seat: consensus.VoterSeat,
-    candidates: readonly consensus.SeatCandidate[],
+    seat: consensus.VoterSlot,
+    candidates: readonly consensus.VoterSlotCandidate[],
   ): number {
-    const silentMs = leadership.getSilentMs(seat);
+    const silentMs = leadership.getLagMs(seat);
     const greetedMs = candidates.find((host) => isOf(host, seat))?.silentMs ?? 0;
-    return leadership.hasHeld(seat) ? silentMs : Math.max(silentMs, greetedMs);
+    return leadership.hasCaughtUp(seat) ? silentMs : Math.max(silentMs, greetedMs);
   }
 
-  private isAvoided({ voterId }: consensus.VoterSeat): boolean {
+  private isAvoided({ voterId }: consensus.VoterSlot): boolean {
     return this.options.clock.now() < (this.avoidedUntil.get(voterId) ?? -Infinity);
   }
 }
@@ -189,21 +189,21 @@
  * by those that are left: gone in that moment, a leader left them with four votes of which two were lost.
  */
 function isNeeded(voter: consensus.Voter): boolean {
-  const { former = [], seats } = voter.entries.getSeatingAt(voter.commitIndex);
+  const { former = [], seats } = voter.entries.getVoterSetAt(voter.commitIndex);
   return isIn([...seats, ...former], voter);
 }
 
-function isIn(seats: readonly consensus.VoterSeat[], { voterId }: { readonly voterId: string }) {
+function isIn(seats: readonly consensus.VoterSlot[], { voterId }: { readonly voterId: string }) {
   return seats.some((seat) => seat.voterId === voterId);
 }
 
-function isOf(some: consensus.VoterSeat, other: consensus.VoterSeat): boolean {
+function isOf(some: consensus.VoterSlot, other: consensus.VoterSlot): boolean {
   return some.voterId === other.voterId;
 }
 
 function without(
-  seats: readonly consensus.VoterSeat[],
-  others: readonly consensus.VoterSeat[],
-): consensus.VoterSeat[] {
+  seats: readonly consensus.VoterSlot[],
+  others: readonly consensus.VoterSlot[],
+): consensus.VoterSlot[] {
   return seats.filter((seat) => !isIn(others, seat));
 }
--- a/packages/gateway/src/copy-keeper.ts
+++ b/packages/gateway/src/migration-manager.ts
@@ -16,32 +16,32 @@
 const COPY_MS = 2_500;
 
 /** The copy of a run, and at which engine. */
-export interface RunCopy {
+export interface KvCacheBackup {
   readonly at: upstreamDirectories.KnownUpstream;
-  readonly reference: ports.CopyReference;
+  readonly reference: ports.KvCacheReference;
 }
 
 /** What the keeper needs. */
-export interface CopyKeeperOptions {
-  readonly engines: ports.EngineOrders;
+export interface MigrationManagerOptions {
+  readonly engines: ports.EngineControl;
   readonly directory: upstreamDirectories.UpstreamDirectory;
   readonly picker: upstreamPickers.UpstreamPicker;
-  readonly findBudget: (service: string) => requests.LendingRetrySource;
+  readonly findBudget: (service: string) => requests.GrantingRetrySource;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
 }
 
 /** A run that is to go on when its engine leaves. */
-export interface KeptRun {
+export interface MigratableRun {
   readonly engine: upstreamDirectories.KnownUpstream;
-  copy: RunCopy | undefined;
+  backup: KvCacheBackup | undefined;
   isOpen: boolean;
   /** Whether it ended otherwise than well; its copy is needed then. */
   hasFailed: boolean;
   /** Whether the retry by which it goes on was taken already. */
-  isPaid: boolean;
+  hasRetryGranted: boolean;
   /** Settles when the last part of its copy is made; its stream has ended already. */
-  stopping: Promise<void> | undefined;
+  finalBackup: Promise<void> | undefined;
 }
 
 /**
@@ -49,22 +49,26 @@
  * copied while the run goes on, then the run is stopped, the little that was made meanwhile follows, and it goes on at
  * the other engine after a pause of a few events.
  */
-export class CopyKeeper {
-  public constructor(private readonly options: CopyKeeperOptions) {}
+export class MigrationManager {
+  public constructor(private readonly options: MigrationManagerOptions) {}
 
   /** Sees to it until the run is over. */
-  public async run(job: routedJobs.RoutedJob, run: KeptRun): Promise<void> {
+  public async run(job: routedJobs.RoutedJob, run: MigratableRun): Promise<void> {
     const { clock, picker } = this.options;
     const full: string[] = [];
-    while (run.isOpen && run.stopping === undefined) {
-      const { taker, wasAsked } = await picker.awaitTaker(job.call, run.engine.upstreamId, full);
+    while (run.isOpen && run.finalBackup === undefined) {
+      const { target: taker, isAnswered: wasAsked } = await picker.awaitMigrationTarget(
+        job.call,
+        run.engine.upstreamId,
+        full,
+      );
       if (taker !== undefined && run.isOpen) {
         await this.handOver(job, run, taker, full);
       } else if (!wasAsked) {
         await clock.sleep(RETRY_MS);
       }
     }
-    await run.stopping;
+    await run.finalBackup;
     while (run.isOpen) {
       await clock.sleep(RETRY_MS);
     }
@@ -74,17 +78,17 @@
   /** Copies the run and stops it; an engine without room is not asked again. */
   private async handOver(
     job: routedJobs.RoutedJob,
-    run: KeptRun,
+    run: MigratableRun,
     at: upstreamDirectories.KnownUpstream,
     full: string[],
   ): Promise<void> {
     const { clock, findBudget, log, picker } = this.options;
     const kind = await this.copy(job, run, at);
     // Going on counts as a retry. Without one the run is not stopped: it may yet end where it is.
-    const mayGoOn = kind === 'made' && (await findBudget(job.call.service.name).takeLent());
+    const mayGoOn = kind === 'made' && (await findBudget(job.call.service.name).takeGranted());
     if (mayGoOn) {
-      run.isPaid = true;
-      run.stopping = this.stop(job, run, at);
+      run.hasRetryGranted = true;
+      run.finalBackup = this.stop(job, run, at);
       return;
     }
     if (kind === 'no-room') {
@@ -98,15 +102,18 @@
   }
 
   /** Frees a copy that was made on order when nothing will go on from it; its engine would keep it for 5 s and more. */
-  private async dropUnused(job: routedJobs.RoutedJob, { copy, hasFailed }: KeptRun): Promise<void> {
+  private async dropUnused(
+    job: routedJobs.RoutedJob,
+    { backup: copy, hasFailed }: MigratableRun,
+  ): Promise<void> {
     const mayGoOn = hasFailed && !job.abort.signal.aborted;
     if (mayGoOn || copy?.reference.kind !== 'ordered') {
       return;
     }
     const { engines, log } = this.options;
-    const { handle, runner } = copy.reference;
+    const { handle, sourceAddress: runner } = copy.reference;
     try {
-      await engines.drop(runner, handle, AbortSignal.timeout(COPY_MS));
+      await engines.dropKvCache(runner, handle, AbortSignal.timeout(COPY_MS));
     } catch (err) {
       // The engine was leaving and may be gone, and the copy goes when its time is over.
       const { message } = schemas.toError(err);
@@ -117,17 +124,20 @@
   /** Has the memory of the run copied while it goes on. */
   private async copy(
     job: routedJobs.RoutedJob,
-    run: KeptRun,
+    run: MigratableRun,
     at: upstreamDirectories.KnownUpstream,
-  ): Promise<ports.CopyResult['kind']> {
+  ): Promise<ports.KvCacheCopyResult['kind']> {
     const { engines, log } = this.options;
     const order = createOrder(job, run, at, false);
-    const { requestId: request, runner } = order;
+    const { requestId: request, sourceAddress: runner } = order;
     const details = { request, upstream: run.engine.upstreamId, copyAt: at.upstreamId };
     try {
-      const result = await engines.copy(order, AbortSignal.timeout(COPY_MS));
+      const result = await engines.copyKvCache(order, AbortSignal.timeout(COPY_MS));
       if (result.kind === 'made') {
-        run.copy = { at, reference: { kind: 'ordered', runner, handle: result.handle } };
+        run.backup = {
+          at,
+          reference: { kind: 'ordered', sourceAddress: runner, handle: result.handle },
+        };
         log.info({ decision: 'copy', ...details });
       } else {
         log.info({ decision: 'copy-failed', ...details, err: result.kind });
@@ -142,20 +152,20 @@
   /** Stops the run and has the rest of its memory copied; where that fails the copy made before stands. */
   private async stop(
     job: routedJobs.RoutedJob,
-    run: KeptRun,
+    run: MigratableRun,
     at: upstreamDirectories.KnownUpstream,
   ): Promise<void> {
     const { engines, log, picker } = this.options;
     const order = createOrder(job, run, at, true);
-    const { requestId: request, runner } = order;
+    const { requestId: request, sourceAddress: runner } = order;
     const details = { request, upstream: run.engine.upstreamId, copyAt: at.upstreamId };
     try {
-      const result = await engines.copy(order, AbortSignal.timeout(COPY_MS));
+      const result = await engines.copyKvCache(order, AbortSignal.timeout(COPY_MS));
       // A run that was stopped and found no room is kept by its own engine, and may go on there while that stays.
       const holder = result.kind === 'made' ? at : run.engine;
       const handle = result.kind === 'no-run' ? undefined : result.handle;
       if (handle !== undefined) {
-        run.copy = { at: holder, reference: { kind: 'ordered', runner, handle } };
+        run.backup = { at: holder, reference: { kind: 'ordered', sourceAddress: runner, handle } };
       }
       log.info({ decision: 'hand-over', ...details, result: result.kind });
     } catch (err) {
@@ -167,14 +177,14 @@
 
 function createOrder(
   { call }: routedJobs.RoutedJob,
-  { engine }: KeptRun,
+  { engine }: MigratableRun,
   at: upstreamDirectories.KnownUpstream,
   isLast: boolean,
-): ports.CopyOrder {
+): ports.KvCacheCopyOrder {
   return {
-    runner: engine.listed.address,
+    sourceAddress: engine.listed.address,
     requestId: call.facts.requestId,
-    holder: at.listed.address,
+    targetAddress: at.listed.address,
     isLast,
   };
 }
--- a/packages/gateway/src/operator-desk.ts
+++ b/packages/gateway/src/operator-service.ts
@@ -9,7 +9,7 @@
 const ANSWER_SHARE = 0.6;
 
 /** What the desk needs. */
-export interface OperatorDeskOptions {
+export interface OperatorServiceOptions {
   readonly group: coreGroups.CoreGroup;
   readonly leader: leaderClients.LeaderClient;
   readonly codec: ports.DocumentCodec;
@@ -19,15 +19,15 @@
 }
 
 /** Takes operators' documents and reads them back, at whichever core host the operator reached. */
-export class OperatorDesk {
-  public constructor(private readonly options: OperatorDeskOptions) {}
+export class OperatorService {
+  public constructor(private readonly options: OperatorServiceOptions) {}
 
   /** Checks a document and puts it into the log; a refusal lists what is wrong with it. */
   public async declare(text: string): Promise<intents.DeclareResult> {
     const { version } = this.check(text);
     const { acknowledgeMs, leader } = this.options;
-    const result = await leader.ask(
-      () => this.declareHere({ version, text }),
+    const result = await leader.request(
+      () => this.declareAsLeader({ version, text }),
       (api, options) => api.declare.mutate({ version, text }, options),
       acknowledgeMs * ANSWER_SHARE,
     );
@@ -38,21 +38,21 @@
   /** The newest document; fails where it is not certain which one that is. */
   public read(): Promise<intents.DeclaredDocument | null> {
     const { acknowledgeMs, leader } = this.options;
-    return leader.ask(
-      () => this.readHere(),
+    return leader.request(
+      () => this.readAsLeader(),
       (api, options) => api.read.mutate(undefined, options),
       acknowledgeMs * ANSWER_SHARE,
     );
   }
 
   /** Puts a document into the log, as the leader; resolves once a majority has synced it. */
-  public async declareHere(document: intents.DeclaredDocument): Promise<intents.DeclareResult> {
+  public async declareAsLeader(document: intents.DeclaredDocument): Promise<intents.DeclareResult> {
     const { result } = await this.options.group.getLeadership().propose(document);
     return result as intents.DeclareResult;
   }
 
   /** The newest document, as the leader; a majority confirms first that it still leads. */
-  public async readHere(): Promise<intents.DeclaredDocument | null> {
+  public async readAsLeader(): Promise<intents.DeclaredDocument | null> {
     await this.options.group.getLeadership().barrier();
     return this.options.group.state.get() ?? null;
   }
--- a/packages/gateway/src/pool-client.ts
+++ b/packages/gateway/src/placement-client.ts
@@ -18,7 +18,7 @@
 const HAND_OVER_WAIT_MS = 2_000;
 
 /** What the client needs. */
-export interface PoolClientOptions {
+export interface PlacementClientOptions {
   readonly mesh: coreMeshes.CoreMesh;
   readonly findLeader: () => string | undefined;
   readonly clock: schemas.Clock;
@@ -27,24 +27,24 @@
 
 interface Running {
   readonly service: string;
-  readonly need: routing.PlaceNeed;
+  readonly need: routing.PlacementSpec;
   readonly engineId: string;
   readonly startedAt: number;
 }
 
 /** Asks the leader where generations go, and keeps it informed of what runs here. */
-export class PoolClient implements upstreamPickers.GenerationPlacer {
+export class PlacementClient implements upstreamPickers.GenerationPlacer {
   private readonly running = new Map<string, Running>();
   private aloneUntil = -Infinity;
   private informed: string | undefined;
 
-  public constructor(private readonly options: PoolClientOptions) {}
+  public constructor(private readonly options: PlacementClientOptions) {}
 
   /** Where a generation goes; nothing when the leader does not answer, and this host has to choose alone. */
   public async place(
     service: string,
-    need: routing.PlaceNeed,
-    wait: upstreamPickers.PlaceWait,
+    need: routing.PlacementSpec,
+    wait: upstreamPickers.PlacementWait,
   ): Promise<procedures.PlaceRes | undefined> {
     return this.ask((api) =>
       api.place.mutate(
@@ -55,10 +55,10 @@
   }
 
   /** Which engine takes a run over when that comes up meanwhile; nothing when nobody answers. */
-  public async awaitHandOver(
+  public async awaitMigration(
     service: string,
-    run: procedures.OfferedRun,
-  ): Promise<procedures.HandOverRes | undefined> {
+    run: procedures.MigrationOffer,
+  ): Promise<procedures.MigrationRes | undefined> {
     const patienceMs = HAND_OVER_WAIT_MS;
     const context = { deadlineMs: patienceMs + ANSWER_MS };
     return this.ask((api) =>
@@ -67,7 +67,7 @@
   }
 
   /** Notes what became of a generation that runs here. */
-  public noteRun(callId: string, event: procedures.RunNote['event']): void {
+  public noteRun(callId: string, event: procedures.GenerationEvent['event']): void {
     const { findLeader, mesh } = this.options;
     const known = this.running.get(callId);
     const leader = findLeader();
@@ -78,20 +78,20 @@
   }
 
   /** Asks the leader for a retry beyond this host's own share. */
-  public async borrowRetry(service: string): Promise<boolean> {
+  public async requestRetry(service: string): Promise<boolean> {
     const context = { deadlineMs: ANSWER_MS };
     const res = await this.ask((api) => api.borrowRetry.mutate({ service }, { context }));
     return res?.isLent ?? false;
   }
 
   /** Notes that a generation runs here, wherever that was decided. */
-  public enter(service: string, need: routing.PlaceNeed, engineId: string): void {
+  public registerRun(service: string, need: routing.PlacementSpec, engineId: string): void {
     const startedAt = this.options.clock.now() - need.ranMs;
     this.running.set(need.callId, { service, need, engineId, startedAt });
   }
 
   /** Notes that it runs no longer. */
-  public leave(callId: string, hasFailed: boolean): void {
+  public unregisterRun(callId: string, hasFailed: boolean): void {
     const { findLeader, mesh } = this.options;
     const known = this.running.get(callId);
     const leader = findLeader();
--- a/packages/gateway/src/pool-desk.ts
+++ b/packages/gateway/src/placement-service.ts
@@ -11,7 +11,7 @@
 const COLD_PART = 0.6;
 
 /** Where the desk learns what it needs. */
-export interface PoolDeskOptions {
+export interface PlacementServiceOptions {
   readonly clock: schemas.Clock;
   /** The services in force, with what is known of their engines. */
   readonly findService: (name: string) => schemas.RoutedService | undefined;
@@ -23,21 +23,21 @@
   /** How many times its declared rate a cold upstream bears, and how many calls in a second beyond that. */
   readonly coldBounds: { readonly coldOverage: number; readonly coldSlack: number };
   /** How many retries at one service may be lent. */
-  readonly retryPot: requests.RetryPotBounds;
+  readonly retryLimiter: requests.RetryGrantLimits;
 }
 
-interface WaitingPlace extends routing.QueuedNeed {
+interface WaitingPlace extends routing.QueuedPlacement {
   readonly settle: (placed: routing.Placement | undefined) => void;
 }
 
-interface WaitingRun extends routing.OfferedRun {
+interface WaitingRun extends routing.MigrationCandidate {
   readonly settle: (takerId: string | undefined) => void;
 }
 
 interface Pool {
   readonly ledger: routing.EngineLedger;
-  readonly queue: routing.PlaceQueue<WaitingPlace>;
-  readonly plan: routing.HandOverPlan<WaitingRun>;
+  readonly queue: routing.PlacementQueue<WaitingPlace>;
+  readonly plan: routing.MigrationScheduler<WaitingRun>;
   isServing: boolean;
   listed: readonly schemas.ListedUpstream[] | undefined;
   /** Whether this leader has read a list; what was listed in a former leadership is kept until then. */
@@ -46,12 +46,12 @@
 }
 
 /** The leader's account of every pool of engines: where generations are placed, in one place for all hosts. */
-export class PoolDesk {
+export class PlacementService {
   private readonly pools = new Map<string, Pool>();
-  private readonly pots = new Map<string, requests.RetryPot>();
+  private readonly pots = new Map<string, requests.RetryGrantLimiter>();
   private term: number | undefined;
 
-  public constructor(private readonly options: PoolDeskOptions) {}
+  public constructor(private readonly options: PlacementServiceOptions) {}
 
   /** Places a generation; waits for room as long as its caller can, and says so when there is none. */
   public async place(req: procedures.PlaceReq): Promise<procedures.PlaceRes> {
@@ -64,18 +64,18 @@
     if (pool === undefined || (isChoice && !pool.hasList)) {
       return { placed: undefined, waitedMs: 0, isUnknown: true };
     }
-    pool.plan.endTurn(req.need.callId);
+    pool.plan.endMigration(req.need.callId);
     if (isChoice && !pool.ledger.hasOpenEngine()) {
       return { placed: undefined, waitedMs: 0, full: pool.ledger.getSummary(askedAt) };
     }
     const placed = await new Promise<routing.Placement | undefined>((resolve) => {
       // A copy of a whole prompt would go over the links that runs need to be handed over.
-      const wantsCopy = req.need.wantsCopy && !pool.plan.isBusy();
+      const wantsCopy = req.need.wantsCopy && !pool.plan.isMigrating();
       pool.queue.add({
-        need: { ...req.need, wantsCopy },
+        spec: { ...req.need, wantsCopy },
         dueAt: askedAt + req.dueInMs,
-        rank: req.rank,
-        endsAt: askedAt + req.patienceMs,
+        priority: req.rank,
+        expiresAt: askedAt + req.patienceMs,
         settle: resolve,
       });
       this.serve(pool);
@@ -87,7 +87,7 @@
   }
 
   /** Says when a generation is to be handed over, and where to; nothing when that does not come up meanwhile. */
-  public async awaitHandOver(req: procedures.HandOverReq): Promise<procedures.HandOverRes> {
+  public async awaitMigration(req: procedures.MigrationReq): Promise<procedures.MigrationRes> {
     const { callId, engineId, excluded, patienceMs, service } = req;
     const pool = this.findPool(service);
     if (pool === undefined) {
@@ -95,31 +95,31 @@
     }
     const endsAt = this.options.clock.now() + patienceMs;
     const takerId = await new Promise<string | undefined>((resolve) => {
-      pool.plan.offer({ callId, engineId, excluded, endsAt, settle: resolve });
+      pool.plan.offer({ callId, engineId, excluded, expiresAt: endsAt, settle: resolve });
       void this.serveWaiting(pool, service);
     });
     return { takerId };
   }
 
   /** Notes what became of a generation. */
-  public noteRun({ callId, event, service }: procedures.RunNote): void {
+  public noteRun({ callId, event, service }: procedures.GenerationEvent): void {
     const pool = this.pools.get(service);
     if (pool === undefined) {
       return;
     }
     if (event === 'begun') {
-      pool.ledger.noteBegun(callId, this.options.clock.now());
+      pool.ledger.recordFirstEvent(callId, this.options.clock.now());
     } else {
-      pool.plan.endTurn(callId);
-      pool.ledger.setCopy(callId, undefined);
+      pool.plan.endMigration(callId);
+      pool.ledger.setBackup(callId, undefined);
     }
     this.serve(pool);
   }
 
   private serve(pool: Pool): void {
     const now = this.options.clock.now();
-    pool.queue.serve(now).forEach(({ placed, queued }) => queued.settle(placed));
-    pool.plan.serve(now).forEach(({ run, takerId }) => run.settle(takerId));
+    pool.queue.dispatch(now).forEach(({ placed, queued }) => queued.settle(placed));
+    pool.plan.dispatch(now).forEach(({ run, targetEngineId: takerId }) => run.settle(takerId));
   }
 
   /** Looks at those that wait again and again while there are any. */
@@ -152,14 +152,14 @@
   }
 
   /** Lends a retry at a service. */
-  public lendRetry(service: string, lender: requests.RetryLender): boolean {
-    const pot = this.pots.get(service) ?? new requests.RetryPot(this.options.retryPot);
+  public grantRetry(service: string, lender: requests.RetryGrantor): boolean {
+    const pot = this.pots.get(service) ?? new requests.RetryGrantLimiter(this.options.retryLimiter);
     this.pots.set(service, pot);
-    return pot.lend(lender, this.options.clock.now());
+    return pot.grant(lender, this.options.clock.now());
   }
 
   /** Begins to lead; what ran in a former leadership has ended or is told anew by the hosts. */
-  public lead(term: number): void {
+  public startLeading(term: number): void {
     if (this.term !== term) {
       this.term = term;
       this.clear();
@@ -216,8 +216,8 @@
 
 function createPool(): Pool {
   const ledger = new routing.EngineLedger();
-  const queue = new routing.PlaceQueue<WaitingPlace>(ledger);
-  const plan = new routing.HandOverPlan<WaitingRun>(ledger);
+  const queue = new routing.PlacementQueue<WaitingPlace>(ledger);
+  const plan = new routing.MigrationScheduler<WaitingRun>(ledger);
   return {
     ledger,
     queue,
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -18,11 +18,11 @@
 export interface CallFacts {
   readonly requestId: string;
   /** How long the caller waits, in milliseconds. */
-  readonly patienceMs: number | undefined;
+  readonly callerTimeoutMs: number | undefined;
   readonly key: string | undefined;
   readonly generation: GenerationFacts | undefined;
   /** The headers that go on to the upstream as they came. */
-  readonly passedOn: Readonly<Record<string, string | string[]>>;
+  readonly forwardedHeaders: Readonly<Record<string, string | string[]>>;
 }
 
 /** What goes out with one attempt, beside what the caller sent. */
@@ -30,11 +30,11 @@
   readonly upstreamId: string;
   readonly team: string | undefined;
   /** How much time is left, in milliseconds. */
-  readonly leftMs: number;
+  readonly remainingMs: number;
   /** The rank among generations that wait at an engine; 0 goes first. */
-  readonly urgency: number | undefined;
+  readonly priority: number | undefined;
   /** The address of the engine that is to keep a copy of the generation while it runs. */
-  readonly copyHolder: string | undefined;
+  readonly backupAddress: string | undefined;
   /** Where a generation that broke off goes on. */
   readonly resume: ResumeFacts | undefined;
 }
@@ -42,26 +42,26 @@
 /** Where a generation that broke off goes on: behind the last event that the caller has. */
 export interface ResumeFacts {
   /** The memory from which it goes on; without one the prompt is read anew, where the route allows another run. */
-  readonly copy: CopyReference | undefined;
+  readonly copy: KvCacheReference | undefined;
   readonly lastEventId: string | undefined;
 }
 
 /** What a copy is known by: it is kept along with the run, or was made on order by the engine that ran it. */
-export type CopyReference =
-  | { readonly kind: 'kept'; readonly holder: string }
-  | { readonly kind: 'ordered'; readonly runner: string; readonly handle: string };
+export type KvCacheReference =
+  | { readonly kind: 'kept'; readonly backupAddress: string }
+  | { readonly kind: 'ordered'; readonly sourceAddress: string; readonly handle: string };
 
 /** An order to copy a run; engines are named by their addresses. */
-export interface CopyOrder {
-  readonly runner: string;
+export interface KvCacheCopyOrder {
+  readonly sourceAddress: string;
   readonly requestId: string;
-  readonly holder: string;
+  readonly targetAddress: string;
   /** Whether the run stops first, so that nothing is lacking; it goes on from the copy. */
   readonly isLast: boolean;
 }
 
 /** What became of an order to copy a run. */
-export type CopyResult =
+export type KvCacheCopyResult =
   | { readonly kind: 'made'; readonly handle: string }
   /** The other engine has no room, or cannot be reached from there; a run that was stopped is kept under a handle. */
   | { readonly kind: 'no-room'; readonly handle?: string | undefined }
@@ -69,11 +69,11 @@
   | { readonly kind: 'no-run' };
 
 /** Orders to engines about generations that run there; addresses say which engine. */
-export interface EngineOrders {
+export interface EngineControl {
   /** Has an engine copy a run's memory to another; gives what the copy is known by. */
-  copy(order: CopyOrder, signal: AbortSignal): Promise<CopyResult>;
+  copyKvCache(order: KvCacheCopyOrder, signal: AbortSignal): Promise<KvCacheCopyResult>;
   /** Has an engine let go of a copy that was made on order and is not needed, at both ends. */
-  drop(runner: string, handle: string, signal: AbortSignal): Promise<void>;
+  dropKvCache(runner: string, handle: string, signal: AbortSignal): Promise<void>;
 }
 
 /** What an upstream tells in passing with an answer. */
@@ -88,7 +88,7 @@
   /** Decodes a call's head; throws a refusal when it is no call. */
   readCall(headers: http.IncomingHttpHeaders): CallFacts;
   createHeaders(call: CallFacts, attempt: AttemptFacts): Record<string, string | string[]>;
-  judge(call: CallFacts): requests.JudgeHead;
+  judge(call: CallFacts): requests.ClassifyHead;
   readAnswer(head: requests.AnswerHead): AnswerFacts;
 }
 
@@ -105,21 +105,25 @@
 }
 
 /** Follows a reading of the list that is under way. */
-export interface ListReading {
+export interface ListReadMonitor {
   /** Notes that the platform has answered with a page. */
-  notePage(): void;
+  recordPage(): void;
   /** Waits until a page that was refused for too many calls may be asked for again; whether it may. */
-  awaitRefused(): Promise<boolean>;
+  awaitRetryAllowed(): Promise<boolean>;
 }
 
 /** Where the list of upstreams is read. */
 export interface UpstreamSource {
   /** The whole list, all of its pages. */
-  list(listAddress: string, signal: AbortSignal, reading?: ListReading): Promise<ReadList>;
+  list(
+    listAddress: string,
+    signal: AbortSignal,
+    reading?: ListReadMonitor,
+  ): Promise<ListReadResult>;
 }
 
 /** One reading of the list of upstreams. */
-export interface ReadList {
+export interface ListReadResult {
   readonly upstreams: schemas.ListedUpstream[];
   /** How many calls it took. */
   readonly calls: number;
--- a/packages/gateway/src/retry-shares.ts
+++ b/packages/gateway/src/retry-shares.ts
@@ -12,13 +12,13 @@
 const SHARED_PART = 0.35;
 
 /** The part that the leader lends to those that need more. */
-export const LENT_PART = 0.4;
+export const GRANTED_SHARE = 0.4;
 
 /**
  * The part that a leader lends in its first window, when it does not know what the one before it lent. With two new
  * leaders in one window the parts add up to 0.99.
  */
-export const LENT_AT_FIRST_PART = 0.12;
+export const FIRST_WINDOW_GRANTED_SHARE = 0.12;
 
 /** How much of a host's part is saved up; the rest comes back over a window. */
 const SAVED_PART = 0.8;
@@ -49,12 +49,12 @@
   ) {}
 
   /** Where retries at a service come from: this host's share, and when that is used up the leader's pot. */
-  public find(service: string): requests.LendingRetrySource {
+  public find(service: string): requests.GrantingRetrySource {
     const own = this.findOwn(service);
     return {
       noteRequest: () => own.noteRequest(),
       take: () => this.take(own, service),
-      takeLent: () => this.takeLent(own, service),
+      takeGranted: () => this.takeLent(own, service),
     };
   }
 
--- a/packages/gateway/src/routed-answer.ts
+++ b/packages/gateway/src/routed-answer.ts
@@ -3,17 +3,17 @@
 import * as requests from '@bramleyridge/requests';
 
 /** An answer that was read whole, or one whose body is still coming. */
-export type RoutedAnswer = WholeAnswer | ComingAnswer;
+export type RoutedAnswer = BufferedAnswer | StreamedAnswer;
 
 /** An answer that was read whole. */
-export interface WholeAnswer {
+export interface BufferedAnswer {
   readonly kind: 'whole';
   readonly head: requests.AnswerHead;
   readonly bytes: Buffer;
 }
 
 /** An answer whose body is still coming. */
-export interface ComingAnswer {
+export interface StreamedAnswer {
   readonly kind: 'coming';
   readonly answer: requests.UpstreamAnswer;
   readonly upstreamId: string;
@@ -24,7 +24,7 @@
   /** Whether there is a copy from which it could go on. */
   readonly canResume: () => boolean;
   /** Goes on behind an event where the upstream broke off; nothing when that can't be done. */
-  readonly resume: (lastEventId: string | undefined) => Promise<ComingAnswer | undefined>;
+  readonly resume: (lastEventId: string | undefined) => Promise<StreamedAnswer | undefined>;
 }
 
 /**
@@ -46,14 +46,14 @@
   if (routed.kind === 'whole') {
     const { head, bytes } = routed;
     const length = BODILESS.has(head.status) ? {} : { 'content-length': bytes.length };
-    res.writeHead(head.status, { ...requests.pickEndToEnd(head.headers), ...length });
+    res.writeHead(head.status, { ...requests.pickEndToEndHeaders(head.headers), ...length });
     res.end(bytes);
     return;
   }
   const { headers, status } = routed.answer;
   const length = headers['content-length'];
   res.writeHead(status, {
-    ...requests.pickEndToEnd(headers),
+    ...requests.pickEndToEndHeaders(headers),
     ...(length === undefined ? {} : { 'content-length': length }),
   });
   try {
@@ -66,7 +66,7 @@
   }
 }
 
-async function relayBytes(res: http.ServerResponse, coming: ComingAnswer): Promise<void> {
+async function relayBytes(res: http.ServerResponse, coming: StreamedAnswer): Promise<void> {
   await write(res, coming.bytes);
   await relayLeg(coming, false, (bytes) => write(res, bytes));
 }
@@ -74,10 +74,10 @@
 /** Passes whole events on; where one upstream breaks off, another goes on behind the last event. */
 async function relayEvents(
   res: http.ServerResponse,
-  first: ComingAnswer,
+  first: StreamedAnswer,
   noteEvents: () => void,
 ): Promise<void> {
-  const cutter = new requests.EventCutter();
+  const cutter = new requests.SseEventSplitter();
   let coming = first;
   for (;;) {
     try {
@@ -101,7 +101,7 @@
 }
 
 async function relayLeg(
-  coming: ComingAnswer,
+  coming: StreamedAnswer,
   isStream: boolean,
   pass: (bytes: Buffer) => Promise<void>,
 ): Promise<void> {
@@ -123,7 +123,7 @@
 }
 
 /** Ends a stream that has fallen silent, if it can go on elsewhere; otherwise its engine may yet speak. */
-function endSilent({ answer, canResume }: ComingAnswer): void {
+function endSilent({ answer, canResume }: StreamedAnswer): void {
   if (canResume()) {
     answer.body.destroy(new Error('the stream fell silent'));
   }
--- a/packages/gateway/src/routed-attempts.ts
+++ b/packages/gateway/src/routed-attempts.ts
@@ -3,11 +3,11 @@
 import type * as telemetry from '@bramleyridge/telemetry';
 
 import type * as callAdmissions from './call-admission.js';
-import * as copyKeepers from './copy-keeper.js';
+import * as copyKeepers from './migration-manager.js';
 import type * as crashGuards from './crash-guard.js';
 import * as generationCalls from './generation-calls.js';
 import type * as ports from './ports.js';
-import * as rebornWatches from './reborn-watch.js';
+import * as rebornWatches from './abort-on-engine-restart.js';
 import type * as routedAnswers from './routed-answer.js';
 import type * as routedJobs from './routed-job.js';
 import type * as upstreamPickers from './upstream-picker.js';
@@ -28,7 +28,7 @@
 export const FIRST_FAILURE_STATUS = 500;
 
 /** What attempts need. */
-export interface RoutedAttemptsOptions extends copyKeepers.CopyKeeperOptions {
+export interface RoutedAttemptsOptions extends copyKeepers.MigrationManagerOptions {
   readonly wire: ports.CallWire;
   readonly client: requests.UpstreamClient;
   readonly guard: crashGuards.CrashGuard;
@@ -39,21 +39,21 @@
 /** One run of a call at one upstream, with what it holds there and at the engine that keeps its copy. */
 interface Leg {
   readonly picked: upstreamPickers.PickedUpstream;
-  readonly run: copyKeepers.KeptRun;
+  readonly run: copyKeepers.MigratableRun;
   /** Takes it off every account; only the first call counts. */
   readonly release: (hasFailed: boolean) => void;
   /** When its answer began. */
   begunAt: number | undefined;
 }
 
-type Coming = routedAnswers.ComingAnswer;
+type Coming = routedAnswers.StreamedAnswer;
 
 /** The attempts of routed calls: each sends a call once, and goes on elsewhere when its engine breaks off. */
 export class RoutedAttempts {
-  private readonly keeper: copyKeepers.CopyKeeper;
+  private readonly keeper: copyKeepers.MigrationManager;
 
   public constructor(private readonly options: RoutedAttemptsOptions) {
-    this.keeper = new copyKeepers.CopyKeeper(options);
+    this.keeper = new copyKeepers.MigrationManager(options);
   }
 
   /** One attempt at an upstream. */
@@ -80,7 +80,7 @@
   ): void {
     const { clock, directory, log, metrics } = this.options;
     metrics.count('attempts', { service: job.call.service.name, result: failure.kind });
-    known.load.noteFailure(clock.now());
+    known.load.recordFailure(clock.now());
     if (failure.kind === 'unreachable') {
       directory.noteUnreachable(upstreamId);
     } else if (failure.kind === 'gone') {
@@ -100,7 +100,7 @@
     const { call, tried } = job;
     tried.add(picked.upstreamId);
     job.upstreamId = picked.upstreamId;
-    const leave = picked.known.load.enter(generationCalls.getExpectedTokens(call));
+    const leave = picked.known.load.trackCall(generationCalls.getExpectedTokens(call));
     const run = createRun(picked);
     const release = (hasFailed: boolean) => {
       if (run.isOpen) {
@@ -120,7 +120,7 @@
   ): Promise<requests.UpstreamAnswer> {
     const { client, clock, directory, wire } = this.options;
     const { call, body, abort } = job;
-    if (!directory.mayBeSent(leg.picked.known, call.regions)) {
+    if (!directory.isPlacementAllowed(leg.picked.known, call.regions)) {
       return Promise.reject(
         new requests.UpstreamError('unreachable', 'send', leg.picked.upstreamId),
       );
@@ -128,9 +128,9 @@
     const headers = wire.createHeaders(call.facts, {
       upstreamId: leg.picked.upstreamId,
       team: call.team?.name,
-      leftMs: call.endsAt - clock.now(),
-      urgency: generationCalls.getUrgency(call, leg.picked.isAlone),
-      copyHolder: leg.picked.copyAt?.listed.address,
+      remainingMs: call.endsAt - clock.now(),
+      priority: generationCalls.getEnginePriority(call, leg.picked.isFallback),
+      backupAddress: leg.picked.backupEngine?.listed.address,
       resume,
     });
     // A stream goes out on a connection of its own: on a kept one that is silently dead nothing would show it.
@@ -152,7 +152,7 @@
     const { known, upstreamId } = leg.picked;
     const { load } = wire.readAnswer(answer);
     if (load !== undefined) {
-      known.load.takeReport(load, clock.now());
+      known.load.applyReport(load, clock.now());
     }
     const isFailure = answer.status >= FIRST_FAILURE_STATUS;
     metrics.count('attempts', {
@@ -160,7 +160,7 @@
       result: isFailure ? 'failure' : 'answer',
     });
     if (isFailure) {
-      known.load.noteFailure(clock.now());
+      known.load.recordFailure(clock.now());
     }
     if (job.call.route.isStream && answer.status < FIRST_NO_SUCCESS) {
       return this.createComing(job, leg, answer, Buffer.alloc(0));
@@ -171,7 +171,7 @@
     }
     leg.release(false);
     const isServed = answer.status < FIRST_NO_SUCCESS;
-    this.options.guard.note(job, createGuarded(leg), isServed ? 'served' : 'over');
+    this.options.guard.recordOutcome(job, createGuarded(leg), isServed ? 'served' : 'over');
     return { kind: 'whole', head: answer, bytes: read.bytes };
   }
 
@@ -182,17 +182,17 @@
     bytes: Buffer,
   ): Coming {
     leg.begunAt = this.options.clock.now();
-    if (generationCalls.wantsCopy(job.call)) {
+    if (generationCalls.wantsBackup(job.call)) {
       void this.keeper.run(job, leg.run);
     }
-    void rebornWatches.watchReborn(this.options, leg.run, answer);
+    void rebornWatches.abortOnEngineRestart(this.options, leg.run, answer);
     return {
       kind: 'coming',
       answer,
       upstreamId: leg.picked.upstreamId,
       bytes,
       release: (hasFailed) => this.endComing(job, leg, hasFailed),
-      canResume: () => leg.run.copy !== undefined,
+      canResume: () => leg.run.backup !== undefined,
       resume: (lastEventId) => this.resume(job, leg, lastEventId),
     };
   }
@@ -205,7 +205,7 @@
   ): Promise<routedAnswers.RoutedAnswer> {
     const { upstreamId } = leg.picked;
     const failure = requests.createUpstreamError(err, 'attempt', upstreamId);
-    const mayResume = failure.kind === 'lost' && leg.run.copy !== undefined;
+    const mayResume = failure.kind === 'lost' && leg.run.backup !== undefined;
     const resumed = mayResume ? await this.resume(job, leg, undefined) : undefined;
     if (resumed === undefined) {
       throw err;
@@ -220,7 +220,7 @@
     lastEventId: string | undefined,
   ): Promise<Coming | undefined> {
     const { log, metrics } = this.options;
-    await former.run.stopping;
+    await former.run.finalBackup;
     const next = await this.findNext(job, former);
     if (next === undefined || !(await this.mayGoOn(job, next))) {
       return undefined;
@@ -233,9 +233,14 @@
       upstream: upstreamId,
       former: former.picked.upstreamId,
     };
-    log.info({ decision: 'resume', ...details, lastEventId, copyAt: next.copyAt?.upstreamId });
+    log.info({
+      decision: 'resume',
+      ...details,
+      lastEventId,
+      copyAt: next.backupEngine?.upstreamId,
+    });
     try {
-      const resume = { copy: former.run.copy?.reference, lastEventId };
+      const resume = { copy: former.run.backup?.reference, lastEventId };
       const answer = await this.send(job, leg, resume);
       if (answer.status >= FIRST_NO_SUCCESS) {
         answer.body.destroy();
@@ -257,15 +262,15 @@
     const { kind } = requests.createUpstreamError(err, 'attempt', leg.picked.upstreamId);
     const failed = job.abort.signal.aborted ? 'over' : 'lost';
     const end = kind === 'lost' ? failed : 'not-run';
-    this.options.guard.note(job, createGuarded(leg), end);
+    this.options.guard.recordOutcome(job, createGuarded(leg), end);
   }
 
   /** Ends a run whose answer was coming; one that was stopped to be handed over, or whose caller left, shows nothing. */
   private endComing(job: routedJobs.RoutedJob, leg: Leg, hasFailed: boolean): void {
     leg.release(hasFailed);
-    const isOurs = leg.run.stopping !== undefined || job.abort.signal.aborted;
+    const isOurs = leg.run.finalBackup !== undefined || job.abort.signal.aborted;
     const failed = isOurs ? 'over' : 'lost';
-    this.options.guard.note(job, createGuarded(leg), hasFailed ? failed : 'served');
+    this.options.guard.recordOutcome(job, createGuarded(leg), hasFailed ? failed : 'served');
   }
 
   /** Whether a run that broke off may go on at an upstream: one that ends its upstreams would end the next one. */
@@ -295,12 +300,15 @@
     const { directory, findBudget, log, metrics, picker } = this.options;
     const { abort, call } = job;
     const mayRunAgain = isIdempotent(call) && job.tried.size < call.route.maxRuns;
-    const copy = run.copy !== undefined && directory.mayBeSent(run.copy.at) ? run.copy : undefined;
+    const copy =
+      run.backup !== undefined && directory.isPlacementAllowed(run.backup.at)
+        ? run.backup
+        : undefined;
     const canGoOn = copy !== undefined || mayRunAgain;
     if (!canGoOn || job.resumes >= MAX_RESUMES || abort.signal.aborted) {
       return undefined;
     }
-    if (!run.isPaid && !(await findBudget(call.service.name).take())) {
+    if (!run.hasRetryGranted && !(await findBudget(call.service.name).take())) {
       const { requestId } = call.facts;
       metrics.count('resumes', { result: 'no-retry' });
       log.warn({ decision: 'resume-refused', request: requestId, reason: 'retry-budget' });
@@ -320,8 +328,8 @@
       availabilityZone,
       upstream: picked.upstreamId,
       upstreamZone: picked.known.listed.availabilityZone,
-      copyAt: picked.copyAt?.upstreamId,
-      copyZone: picked.copyAt?.listed.availabilityZone,
+      copyAt: picked.backupEngine?.upstreamId,
+      copyZone: picked.backupEngine?.listed.availabilityZone,
       waitedMs: picked.waitedMs,
       share: Number(picked.share.toFixed(2)),
       attempt: job.tried.size,
@@ -331,23 +339,26 @@
   }
 }
 
-function createRun({ copyAt, known }: upstreamPickers.PickedUpstream): copyKeepers.KeptRun {
+function createRun({
+  backupEngine: copyAt,
+  known,
+}: upstreamPickers.PickedUpstream): copyKeepers.MigratableRun {
   const copy = copyAt && {
     at: copyAt,
-    reference: { kind: 'kept', holder: copyAt.listed.address } as const,
+    reference: { kind: 'kept', backupAddress: copyAt.listed.address } as const,
   };
   return {
     engine: known,
-    copy,
+    backup: copy,
     isOpen: true,
     hasFailed: false,
-    isPaid: false,
-    stopping: undefined,
+    hasRetryGranted: false,
+    finalBackup: undefined,
   };
 }
 
 function createGuarded({ begunAt, picked }: Leg): crashGuards.GuardedRun {
-  return { known: picked.known, begunAt };
+  return { known: picked.known, answerStartedAt: begunAt };
 }
 
 function isIdempotent({ route }: callAdmissions.AdmittedCall): boolean {
--- a/packages/gateway/src/routed-store.ts
+++ b/packages/gateway/src/routed-configuration-store.ts
@@ -5,7 +5,7 @@
 import type * as ports from './ports.js';
 
 /** The routed configuration that this host has in force; within one process it only moves to higher versions. */
-export class RoutedStore {
+export class RoutedConfigurationStore {
   private table: routing.RouteTable | undefined;
   private ready = false;
 
