--- a/packages/gateway/src/routed-flow.ts
+++ b/packages/gateway/src/routed-flow.ts
@@ -126,7 +126,7 @@
   }
 
   private noteEvents({ call, times }: routedJobs.RoutedJob): void {
-    if (times.note()) {
+    if (times.recordEvents()) {
       this.options.picker.noteRun(call, 'begun');
     }
   }
@@ -169,7 +169,7 @@
       }
       picker.release(call, false);
       if (granted.kind === 'there') {
-        return picker.pickAt(call, granted.at);
+        return picker.pickAt(call, granted.upstream);
       }
       avoided.add(picked.upstreamId);
     }
@@ -198,7 +198,7 @@
       outcome,
       resumes: job.resumes,
       tookMs: Math.round(clock.now() - arrivedAt),
-      ...job.times.getPace(),
+      ...job.times.getLatency(),
       ...details,
     });
   }
--- a/packages/gateway/src/settings-watch.ts
+++ b/packages/gateway/src/settings-watcher.ts
@@ -6,7 +6,7 @@
 const REREAD_MS = 2_000;
 
 /** The settings in force, read again on a signal and from time to time. */
-export class SettingsWatch {
+export class SettingsWatcher {
   private current: hostSettings.HostSettings;
   private isStopped = false;
 
--- a/packages/gateway/src/stream-times.ts
+++ b/packages/gateway/src/stream-times.ts
@@ -2,7 +2,7 @@
 import type * as telemetry from '@bramleyridge/telemetry';
 
 /** What the line on a stream's end says of its pace, in milliseconds. */
-export interface StreamPace {
+export interface StreamLatency {
   readonly firstEventMs?: number;
   readonly longestGapMs?: number;
 }
@@ -23,7 +23,7 @@
   }
 
   /** Notes that events are passed on now; gives whether they are the first. */
-  public note(): boolean {
+  public recordEvents(): boolean {
     const now = this.clock.now();
     const sinceMs = now - this.lastAt;
     this.lastAt = now;
@@ -38,7 +38,7 @@
   }
 
   /** The pace so far; nothing for an answer without events. */
-  public getPace(): StreamPace {
+  public getLatency(): StreamLatency {
     return this.firstEventMs === undefined
       ? {}
       : {
--- a/packages/gateway/src/suspect-link.ts
+++ b/packages/gateway/src/suspect-client.ts
@@ -5,7 +5,7 @@
 
 import type * as coreMeshes from './core-mesh.js';
 import type * as procedures from './core-procedures.js';
-import type * as relayClients from './relay-client.js';
+import type * as relayClients from './suspect-relay-client.js';
 
 /** How long the leader may take to answer, in milliseconds: a call waits for it. */
 const ANSWER_MS = 60;
@@ -37,12 +37,12 @@
 }
 
 /** What the link needs. */
-export interface SuspectLinkOptions {
+export interface SuspectClientOptions {
   readonly mesh: coreMeshes.CorePeers;
   readonly findLeader: () => string | undefined;
   readonly hostId: string;
   /** Reaches other hosts while there is no leader; left out, each host is by itself then. */
-  readonly relays?: relayClients.RelayClient;
+  readonly relays?: relayClients.SuspectRelayClient;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
 }
@@ -51,9 +51,9 @@
  * Shares what this host knows of suspects with all others, by way of the leader. A new leader knows nothing: it is told
  * everything first, and only then is its word taken, so that what was known outlives every leader.
  */
-export class SuspectLink {
+export class SuspectClient {
   private ledger: routing.CrashLedger | undefined;
-  private reports: procedures.SuspectRun[] = [];
+  private reports: procedures.SuspectOutcome[] = [];
   private informedTerm = NO_TERM;
   private known = { term: NO_TERM, revision: -1 };
   /** The ids of questions for a permit that had no usable answer, by the call's digest. */
@@ -64,7 +64,7 @@
   private isWaiting = false;
   private isStopped = false;
 
-  public constructor(private readonly options: SuspectLinkOptions) {}
+  public constructor(private readonly options: SuspectClientOptions) {}
 
   /** Says what this host knows by, before anything is shared. */
   public attach(ledger: routing.CrashLedger): void {
@@ -75,12 +75,12 @@
   }
 
   /** What this host has last learned. */
-  public getKnown(): procedures.KnownSuspects {
+  public getReceivedRevision(): procedures.SuspectCursor {
     return this.known;
   }
 
   /** Takes what a leader tells of all hosts' suspects. */
-  public take({ changes, term }: procedures.SuspectNews): void {
+  public applyUpdates({ changes, term }: procedures.SuspectUpdates): void {
     if (this.informedTerm === NO_TERM && this.ledger?.size === 0) {
       // A host that has just started has nothing to tell. It is ready with this answer, and must know by then.
       this.informedTerm = term;
@@ -94,19 +94,19 @@
     // What the leader has not heard yet stays.
     this.reports.forEach((run) => {
       if (run.kind === 'ended') {
-        this.ledger?.noteEnd(run.digest, run.end, now);
+        this.ledger?.recordProcessEnd(run.digest, run.end, now);
       }
     });
     this.known = { term, revision: changes.revision };
   }
 
   /** Takes what is quarantined in the log, before this host has heard a leader. */
-  public takeQuarantined(all: readonly routing.SuspectFacts[]): void {
+  public applyQuarantined(all: readonly routing.SuspectFacts[]): void {
     this.ledger?.merge(all, this.options.clock.now());
   }
 
   /** Tells the leader what a run has shown; again and again until some leader has it. */
-  public report(run: procedures.SuspectRun): void {
+  public report(run: procedures.SuspectOutcome): void {
     this.reports = [...this.reports, run].slice(-MOST_REPORTS);
     void this.send();
   }
@@ -115,7 +115,7 @@
    * Whether a suspect may be sent to an upstream; nothing where nobody answers that may know of other hosts' runs. Asked
    * again after no answer came, the question has the same id: the leader may have counted the send already.
    */
-  public async askPermit(
+  public async requestPermit(
     req: Pick<procedures.SuspectPermitReq, 'digest' | 'mayShare' | 'processId'>,
   ): Promise<routing.Permit | undefined> {
     const { digest } = req;
@@ -133,12 +133,12 @@
   }
 
   /** Forgets a question without an answer: its call is sent all the same. */
-  public dropQuestion(digest: string): void {
+  public dropPermitRequest(digest: string): void {
     this.unanswered.delete(digest);
   }
 
   /** Keeps a permit that reached no upstream for the next question: the leader has counted its send. */
-  public keepPermit(permit: routing.Permit): void {
+  public keepUnusedPermit(permit: routing.Permit): void {
     const question = this.granted.get(permit);
     this.granted.delete(permit);
     if (question !== undefined) {
@@ -186,7 +186,7 @@
   private async askRelays(req: procedures.SuspectPermitReq): Promise<routing.Permit | undefined> {
     const { relays } = this.options;
     await relays?.report(this.reports);
-    return relays?.askPermit(req);
+    return relays?.requestPermit(req);
   }
 
   private async askLeader(
--- a/packages/gateway/src/suspect-desk.ts
+++ b/packages/gateway/src/suspect-registry.ts
@@ -11,7 +11,7 @@
 const FULL_VIEW_MS = 2_000;
 
 /** What the desk needs. */
-export interface SuspectDeskOptions {
+export interface SuspectRegistryOptions {
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly metrics: telemetry.MetricSink;
@@ -21,20 +21,20 @@
 }
 
 /** The leader's account of calls under which upstreams ended, for all hosts. */
-export class SuspectDesk {
+export class SuspectRegistry {
   /** Tells that hosts have to learn something. */
   public readonly changed = new schemas.ChangeSignal();
   private ledger = new routing.CrashLedger();
   private term = -1;
   private ledSince = 0;
 
-  public constructor(private readonly options: SuspectDeskOptions) {}
+  public constructor(private readonly options: SuspectRegistryOptions) {}
 
   /**
    * Begins to lead, with what the log holds; again in the same term it changes nothing. What was known in a former
    * leadership may have been cleared since, and the hosts tell what they know.
    */
-  public lead(term: number): void {
+  public startLeading(term: number): void {
     if (this.term !== term) {
       this.term = term;
       this.ledSince = this.options.clock.now();
@@ -51,7 +51,7 @@
       } else if (run.kind === 'served') {
         this.noteServed(hostId, run.digest);
       } else {
-        this.ledger.noteOver(run.digest, run.processId);
+        this.ledger.recordInconclusiveRun(run.digest, run.processId);
       }
     });
   }
@@ -99,27 +99,27 @@
   }
 
   /** The same with what the host needs to tell of the run if this one leads no longer when it ends. */
-  public async permitRun(req: procedures.SuspectPermitReq): Promise<routing.Permit> {
-    return this.ledger.describe(await this.permit(req), req.digest);
+  public async permitWithFacts(req: procedures.SuspectPermitReq): Promise<routing.Permit> {
+    return this.ledger.addIsolation(await this.permit(req), req.digest);
   }
 
   /** What a host lacks, as the leader of a term tells it; one that knows of another leader gets all. */
-  public findNews(
-    known: procedures.KnownSuspects,
+  public findUpdates(
+    known: procedures.SuspectCursor,
     term: number,
-  ): procedures.SuspectNews | undefined {
+  ): procedures.SuspectUpdates | undefined {
     if (known.term !== term) {
-      return { term, changes: this.ledger.listSince(-1) };
+      return { term, changes: this.ledger.listChangesSince(-1) };
     }
     const isCurrent = known.revision === this.ledger.getRevision();
-    return isCurrent ? undefined : { term, changes: this.ledger.listSince(known.revision) };
+    return isCurrent ? undefined : { term, changes: this.ledger.listChangesSince(known.revision) };
   }
 
   private noteEnd(hostId: string, digest: string, end: routing.ProcessEnd): void {
     const { clock, log, metrics } = this.options;
     const before = this.ledger.getStanding(digest);
     const now = clock.now();
-    if (!this.ledger.noteEnd(digest, end, now, now - this.ledSince >= FULL_VIEW_MS)) {
+    if (!this.ledger.recordProcessEnd(digest, end, now, now - this.ledSince >= FULL_VIEW_MS)) {
       return;
     }
     const standing = this.ledger.getStanding(digest);
@@ -167,7 +167,7 @@
   private noteServed(hostId: string, digest: string): void {
     const { log, metrics } = this.options;
     const standing = this.ledger.getStanding(digest);
-    if (this.ledger.noteServed(digest)) {
+    if (this.ledger.clear(digest)) {
       log.info({ decision: 'suspect-cleared', digest, standing, peer: hostId });
       metrics.count('suspects', { standing: 'cleared' });
       if (standing === 'quarantined') {
--- a/packages/gateway/src/relay-client.ts
+++ b/packages/gateway/src/suspect-relay-client.ts
@@ -20,7 +20,7 @@
 const LOOK_MS = 2_000;
 
 /** What the client needs. */
-export interface RelayClientOptions {
+export interface SuspectRelayClientOptions {
   readonly mesh: coreMeshes.CorePeers;
   readonly hostId: string;
   readonly listCores: () => readonly string[];
@@ -32,13 +32,13 @@
 }
 
 /** Shares what is known of suspects through the core hosts that can be reached while the leader can't. */
-export class RelayClient {
-  private readonly told = new WeakSet<procedures.SuspectRun>();
+export class SuspectRelayClient {
+  private readonly told = new WeakSet<procedures.SuspectOutcome>();
   private known = { epoch: 0, revision: -1 };
   private failures = 0;
   private isStopped = false;
 
-  public constructor(private readonly options: RelayClientOptions) {}
+  public constructor(private readonly options: SuspectRelayClientOptions) {}
 
   /** Takes what other hosts have told while the leader can't be reached, until stopped. */
   public async run(take: (changes: routing.SuspectChanges) => void): Promise<void> {
@@ -58,7 +58,7 @@
   }
 
   /** Tells every core host, each run once; gives whether one of them could pass it on to the leader. */
-  public async report(runs: readonly procedures.SuspectRun[]): Promise<boolean> {
+  public async report(runs: readonly procedures.SuspectOutcome[]): Promise<boolean> {
     const { hostId, listCores } = this.options;
     const fresh = runs.filter((run) => !this.told.has(run));
     if (fresh.length === 0) {
@@ -80,7 +80,9 @@
    * Asks the core hosts in an order that is the same at every entry host, so that those which reach the same core hosts ask
    * the same one first; nothing where none answers.
    */
-  public async askPermit(req: procedures.SuspectPermitReq): Promise<routing.Permit | undefined> {
+  public async requestPermit(
+    req: procedures.SuspectPermitReq,
+  ): Promise<routing.Permit | undefined> {
     const context = { deadlineMs: ANSWER_MS };
     for (const coreId of schemas.rankByKey(req.digest, this.options.listCores())) {
       const permit = await this.ask(coreId, (api) => api.relayPermit.mutate(req, { context }));
--- a/packages/gateway/src/suspect-relay.ts
+++ b/packages/gateway/src/suspect-relay.ts
@@ -20,9 +20,9 @@
 /** What the relay needs. */
 export interface SuspectRelayOptions {
   readonly coreId: string;
-  readonly findLeader: () => coreGroups.HeardLeader | undefined;
+  readonly findLeader: () => coreGroups.RecentLeader | undefined;
   /** What this host does as the leader. */
-  readonly duties: LeaderDuties;
+  readonly leaderHandlers: LeaderDuties;
   readonly mesh: coreMeshes.CorePeers;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
@@ -60,7 +60,9 @@
   }
 
   /** Answers a host: at once when there is news and no leader, else when its wait is over. */
-  public async answer(req: procedures.RelayedReq): Promise<procedures.RelayedRes> {
+  public async awaitChanges(
+    req: procedures.RelayedUpdatesReq,
+  ): Promise<procedures.RelayedUpdatesRes> {
     const { clock } = this.options;
     this.use();
     const end = clock.now() + req.waitMs;
@@ -71,7 +73,7 @@
       return { relayed: undefined };
     }
     const since = req.epoch === this.epoch ? req.revision : -1;
-    return { relayed: { epoch: this.epoch, changes: this.ledger.listSince(since) } };
+    return { relayed: { epoch: this.epoch, changes: this.ledger.listChangesSince(since) } };
   }
 
   private keep({ hostId, runs }: procedures.SuspectReport): void {
@@ -80,11 +82,11 @@
     runs.forEach((run) => {
       const { digest, kind } = run;
       if (kind === 'ended') {
-        this.ledger.noteEnd(digest, run.end, clock.now());
+        this.ledger.recordProcessEnd(digest, run.end, clock.now());
       } else if (kind === 'served') {
-        this.ledger.noteServed(digest);
+        this.ledger.clear(digest);
       } else {
-        this.ledger.noteOver(digest, run.processId);
+        this.ledger.recordInconclusiveRun(digest, run.processId);
       }
       const standing = this.ledger.getStanding(digest);
       log.info({ decision: 'suspect-relayed', digest, kind, standing, peer: hostId });
@@ -104,7 +106,7 @@
     const standing = this.ledger.getStanding(digest);
     const details = { digest, standing, peer: hostId, upstream: processId };
     log.info({ decision: 'suspect-permit', ...details, isRelayed: true, ...permit });
-    return this.ledger.describe(permit, digest);
+    return this.ledger.addIsolation(permit, digest);
   }
 
   private hearsLeader(): boolean {
@@ -114,12 +116,12 @@
   /** A leader that failed to answer counts again when it is next heard. */
   private findLeader(): string | undefined {
     const leader = this.options.findLeader();
-    return leader !== undefined && leader.heardAt > this.missedAt ? leader.coreId : undefined;
+    return leader !== undefined && leader.lastContactAt > this.missedAt ? leader.coreId : undefined;
   }
 
   /** Asks the leader; nothing where none is heard or it does not answer. */
   private async passOn<T>(question: (duties: LeaderDuties) => Promise<T>): Promise<T | undefined> {
-    const { clock, coreId, duties, log } = this.options;
+    const { clock, coreId, leaderHandlers: duties, log } = this.options;
     const leader = this.findLeader();
     if (leader === undefined) {
       return undefined;
@@ -143,7 +145,7 @@
     };
   }
 
-  private hasNews({ epoch, revision }: procedures.RelayedReq): boolean {
+  private hasNews({ epoch, revision }: procedures.RelayedUpdatesReq): boolean {
     return epoch === this.epoch ? revision < this.ledger.getRevision() : this.ledger.size > 0;
   }
 
--- a/packages/gateway/src/core-link.ts
+++ b/packages/gateway/src/update-poller.ts
@@ -33,19 +33,19 @@
 const ALONE_MS = 3_000;
 
 /** What the link needs. */
-export interface CoreLinkOptions {
+export interface UpdatePollerOptions {
   readonly mesh: coreMeshes.CoreMesh;
   readonly listSeeds: () => readonly string[];
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly random: () => number;
-  readonly createAsk: (waitMs: number) => procedures.NewsReq;
+  readonly createRequest: (waitMs: number) => procedures.UpdatesReq;
   /** Takes an answer; `isTrusted` tells that it may be served by. */
-  readonly take: (news: procedures.NewsRes, isTrusted: boolean) => void;
+  readonly onUpdates: (news: procedures.UpdatesRes, isTrusted: boolean) => void;
 }
 
 /** The task that keeps an entry host up to date: one open question at the leader, or at whom answers. */
-export class CoreLink {
+export class UpdatePoller {
   /** Tells that the leader was lost or found. */
   public readonly leaderChanged = new schemas.ChangeSignal();
   private readonly failedAt = new Map<string, number>();
@@ -60,7 +60,7 @@
   private misses = 0;
   private readonly startedAt: number;
 
-  public constructor(private readonly options: CoreLinkOptions) {
+  public constructor(private readonly options: UpdatePollerOptions) {
     this.startedAt = options.clock.now();
   }
 
@@ -111,7 +111,7 @@
   }
 
   private async askOne(): Promise<boolean> {
-    const { clock, createAsk, log, mesh } = this.options;
+    const { clock, createRequest: createAsk, log, mesh } = this.options;
     const target = this.chooseTarget();
     if (target === undefined) {
       return false;
@@ -121,7 +121,7 @@
       const context = { deadlineMs: ask.waitMs + ANSWER_MS };
       const news = await mesh.get(target).news.mutate(ask, { context });
       // By its types a call's answer went through JSON; the link's frames carry bytes as they are.
-      this.take(target, news as procedures.NewsRes);
+      this.take(target, news as procedures.UpdatesRes);
       return true;
     } catch (err) {
       this.failedAt.set(target, clock.now());
@@ -134,7 +134,7 @@
     }
   }
 
-  private take(target: string, news: procedures.NewsRes): void {
+  private take(target: string, news: procedures.UpdatesRes): void {
     const { clock, log } = this.options;
     // Moving from one core host to another is no news: a host that has just started does so a hundred times a second
     // until there is a leader.
@@ -151,7 +151,7 @@
       this.failedAt.set(target, clock.now());
     }
     const isAlone = clock.now() - this.startedAt > ALONE_MS;
-    this.options.take(news, news.isCurrent || isAlone);
+    this.options.onUpdates(news, news.isCurrent || isAlone);
   }
 
   /** The leader while it answers, then the one that answered last, then any that did not just fail. */
--- a/packages/gateway/src/upstream-directory.ts
+++ b/packages/gateway/src/upstream-directory.ts
@@ -21,11 +21,11 @@
   /** Until when it is still cold after its start, on this host's clock. */
   readonly coldUntil: number;
   /** Until when it may be cold without being listed so. */
-  readonly untoldColdUntil: number;
+  readonly unlistedColdUntil: number;
 }
 
 interface Entry extends KnownUpstream {
-  untoldColdUntil: number;
+  unlistedColdUntil: number;
   isLeaving: boolean;
   isGone: boolean;
   avoidUntil: number;
@@ -54,7 +54,7 @@
   }
 
   /** Whether a list was ever read. */
-  public isKnown(): boolean {
+  public hasList(): boolean {
     return this.stamp !== '';
   }
 
@@ -64,13 +64,13 @@
   }
 
   /** Notes that the list in force was still true so long ago. */
-  public vouch(ageMs: number): void {
+  public confirmCurrent(ageMs: number): void {
     this.readAt = Math.max(this.readAt, this.clock.now() - ageMs);
   }
 
   /** Takes a list; what calls have shown of an upstream stays known. */
-  public take(list: procedures.UpstreamList, ageMs: number): void {
-    this.vouch(ageMs);
+  public applyList(list: procedures.UpstreamList, ageMs: number): void {
+    this.confirmCurrent(ageMs);
     if (list.stamp === this.stamp) {
       return;
     }
@@ -92,14 +92,14 @@
   }
 
   /** Takes what has changed in the list; changes of a list other than the one in force say nothing. */
-  public takeChanges({ changed, from, gone, stamp }: procedures.ListChanges, ageMs: number): void {
+  public applyChanges({ changed, from, gone, stamp }: procedures.ListChanges, ageMs: number): void {
     if (from !== this.stamp) {
       return;
     }
     const upstreams = new Map([...this.entries].map(([id, { listed }]) => [id, listed]));
     gone.forEach((upstreamId) => upstreams.delete(upstreamId));
     changed.forEach((listed) => upstreams.set(listed.upstreamId, listed));
-    this.take({ stamp, upstreams: [...upstreams.values()] }, ageMs);
+    this.applyList({ stamp, upstreams: [...upstreams.values()] }, ageMs);
   }
 
   /**
@@ -130,7 +130,7 @@
    * Whether anything new may be sent to an upstream, whoever chose it: the leader, a copy that lies there, or this host;
    * `regions` are those to which the call is bound. One that leaves is not barred here: its own runs go on there.
    */
-  public mayBeSent({ listed }: KnownUpstream, regions?: ReadonlySet<string>): boolean {
+  public isPlacementAllowed({ listed }: KnownUpstream, regions?: ReadonlySet<string>): boolean {
     const { availabilityZone } = listed;
     if (this.isEvacuated(availabilityZone)) {
       return false;
@@ -140,16 +140,16 @@
   }
 
   /** The upstreams of a service that may not run a call that is bound to some regions. */
-  public listBarred(service: string, regions: ReadonlySet<string>): string[] {
+  public listDisallowed(service: string, regions: ReadonlySet<string>): string[] {
     return [...this.entries.values()]
-      .filter((item) => item.listed.service === service && !this.mayBeSent(item, regions))
+      .filter((item) => item.listed.service === service && !this.isPlacementAllowed(item, regions))
       .map(({ upstreamId }) => upstreamId);
   }
 
   /** Whether a service has upstreams that would take work, all of them in evacuated zones. */
   public isServiceEvacuated(service: string): boolean {
     const all = [...this.entries.values()].filter(({ listed }) => listed.service === service);
-    return all.length > 0 && all.every((item) => !this.mayBeSent(item));
+    return all.length > 0 && all.every((item) => !this.isPlacementAllowed(item));
   }
 
   /** Whether an upstream is listed and not known to leave or to be gone. */
@@ -165,7 +165,7 @@
   }
 
   /** Whether the process of an upstream seen before has ended and another one has its name; what it held is lost. */
-  public isReborn({ listed, upstreamId }: KnownUpstream): boolean {
+  public hasRestarted({ listed, upstreamId }: KnownUpstream): boolean {
     const entry = this.entries.get(upstreamId);
     return entry !== undefined && schemas.isReborn(listed, entry.listed);
   }
@@ -184,7 +184,7 @@
     if (entry !== undefined) {
       const now = this.clock.now();
       entry.avoidUntil = now + UNREACHABLE_MS;
-      entry.untoldColdUntil = now + UNREACHABLE_MS + COLD_UNTOLD_MS;
+      entry.unlistedColdUntil = now + UNREACHABLE_MS + COLD_UNTOLD_MS;
     }
   }
 
@@ -201,7 +201,7 @@
       listed,
       load: former?.load ?? new routing.UpstreamLoad(),
       coldUntil: this.getColdUntil(listed, former),
-      untoldColdUntil: former?.untoldColdUntil ?? -Infinity,
+      unlistedColdUntil: former?.unlistedColdUntil ?? -Infinity,
       isLeaving: listed.isLeaving || (former?.isLeaving ?? false),
       isGone: former?.isGone ?? false,
       avoidUntil: former?.avoidUntil ?? -Infinity,
@@ -217,6 +217,6 @@
   private takesWork(entry: Entry, regions?: ReadonlySet<string>): boolean {
     const { isGone, isLeaving, listed } = entry;
     const isStaying = !isGone && !isLeaving && listed.saysLeaving !== true;
-    return isStaying && this.mayBeSent(entry, regions);
+    return isStaying && this.isPlacementAllowed(entry, regions);
   }
 }
--- a/packages/gateway/src/list-history.ts
+++ b/packages/gateway/src/upstream-list-history.ts
@@ -9,7 +9,7 @@
 const MOST_CHANGED_PART = 0.5;
 
 /** The last lists of upstreams, for hosts that need only what has changed since the one that they have. */
-export class ListHistory {
+export class UpstreamListHistory {
   private lists: procedures.UpstreamList[] = [];
   private packed = new Map<string, Uint8Array | undefined>();
 
--- a/packages/gateway/src/list-reader.ts
+++ b/packages/gateway/src/upstream-list-reader.ts
@@ -27,13 +27,13 @@
 }
 
 /** What a reader of the list needs. */
-export interface ListReaderOptions {
+export interface UpstreamListReaderOptions {
   readonly source: ports.UpstreamSource;
   readonly getAddress: () => string;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   /** Whether this host is the one that should read. */
-  readonly isDue: () => boolean;
+  readonly isActive: () => boolean;
   /** The pause between two readings, in milliseconds, after one that took so many calls. */
   readonly getPauseMs: (calls: number) => number;
   /** The pause between two looks whether it should read, in milliseconds; left out, that of two readings. */
@@ -44,13 +44,13 @@
    * Whether others read the same list, so that this host gives way when the platform refuses a call: hundreds of hosts that
    * ask on use the allowed calls up, and the one that reads for all of them never gets to the last page.
    */
-  readonly givesWay: boolean;
+  readonly backsOff: boolean;
   readonly random: () => number;
-  readonly take: (list: procedures.UpstreamList) => void;
+  readonly onList: (list: procedures.UpstreamList) => void;
 }
 
 /** Reads the platform's list of upstreams again and again while this host is the one that should. */
-export class ListReader {
+export class UpstreamListReader {
   private isStopped = false;
   private isFailing = false;
   private calls = 1;
@@ -58,11 +58,11 @@
   /** Readings in a row that failed. */
   private failures = 0;
 
-  public constructor(private readonly options: ListReaderOptions) {}
+  public constructor(private readonly options: UpstreamListReaderOptions) {}
 
   /** Reads until stopped. */
   public async run(): Promise<void> {
-    const { clock, getPauseMs, idlePauseMs, isDue } = this.options;
+    const { clock, getPauseMs, idlePauseMs, isActive: isDue } = this.options;
     while (!this.isStopped) {
       const wasDue = isDue();
       if (wasDue) {
@@ -74,7 +74,7 @@
   }
 
   /** How many calls the last reading took. */
-  public getCalls(): number {
+  public getLastCallCount(): number {
     return this.calls;
   }
 
@@ -85,7 +85,7 @@
 
   /** Reads once; a platform that does not answer leaves what was known. */
   private async readOnce(): Promise<void> {
-    const { getAddress, log, source, take } = this.options;
+    const { getAddress, log, source, onList: take } = this.options;
     const peer = getAddress();
     const { end, reading, signal } = this.createReading();
     try {
@@ -111,7 +111,7 @@
   }
 
   private getPauseFactor(): number {
-    if (!this.options.givesWay || this.failures === 0) {
+    if (!this.options.backsOff || this.failures === 0) {
       return 1;
     }
     return 2 ** Math.min(this.failures, MOST_DOUBLINGS) * (0.5 + this.options.random());
@@ -119,7 +119,7 @@
 
   /** A reading ends when a page takes too long, or when refused ones have to wait for too long. */
   private createReading() {
-    const { clock, getCallsPerS, givesWay } = this.options;
+    const { clock, getCallsPerS, backsOff: givesWay } = this.options;
     const abort = new AbortController();
     const timer = setTimeout(
       () =>
@@ -137,7 +137,10 @@
     const notePage = () => {
       timer.refresh();
     };
-    const reading: ports.ListReading = { notePage, awaitRefused };
+    const reading: ports.ListReadMonitor = {
+      recordPage: notePage,
+      awaitRetryAllowed: awaitRefused,
+    };
     return { signal: abort.signal, reading, end: () => clearTimeout(timer) };
   }
 
--- a/packages/gateway/src/list-desk.ts
+++ b/packages/gateway/src/upstream-list-service.ts
@@ -2,9 +2,9 @@
 
 import * as procedures from './core-procedures.js';
 import type * as hostSettings from './host-settings.js';
-import * as leavingWatches from './leaving-watch.js';
-import * as listHistories from './list-history.js';
-import * as listReaders from './list-reader.js';
+import * as leavingWatches from './leaving-engine-monitor.js';
+import * as listHistories from './upstream-list-history.js';
+import * as listReaders from './upstream-list-reader.js';
 import type * as ports from './ports.js';
 
 /**
@@ -43,56 +43,56 @@
 }
 
 /** What the desk needs. */
-export interface ListDeskOptions {
+export interface UpstreamListServiceOptions {
   readonly source: ports.UpstreamSource;
   readonly probe: ports.UpstreamProbe;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly getSettings: () => hostSettings.HostSettings;
   /** Since when this host is the one that should read and ask; nothing while it is not. */
-  readonly findDueSince: () => number | undefined;
+  readonly findActiveSince: () => number | undefined;
   readonly findService: (name: string) => schemas.RoutedService | undefined;
   /** Whether generations run on an engine. */
   readonly hasRuns: (service: string, engineId: string) => boolean;
 }
 
 /** The list of upstreams as the leader hands it on: what the platform lists, and what engines say of themselves. */
-export class ListDesk {
+export class UpstreamListService {
   /** Tells that the list is another one. */
   public readonly changed = new schemas.ChangeSignal();
-  private readonly reader: listReaders.ListReader;
-  private readonly leaving: leavingWatches.LeavingWatch;
+  private readonly reader: listReaders.UpstreamListReader;
+  private readonly leaving: leavingWatches.LeavingEngineMonitor;
   private listed: readonly schemas.ListedUpstream[] = [];
   private list: procedures.UpstreamList | undefined;
   private packed: Uint8Array | undefined;
-  private readonly history = new listHistories.ListHistory();
+  private readonly history = new listHistories.UpstreamListHistory();
   private isGathering = false;
   private readAt = -Infinity;
   private coldTimes = new Map<string, ColdTime>();
   /** When the platform's list was read from which the one in force was made. */
   private inForceReadAt = -Infinity;
 
-  public constructor(private readonly options: ListDeskOptions) {
-    const { clock, findDueSince, getSettings, log, probe, source } = options;
+  public constructor(private readonly options: UpstreamListServiceOptions) {
+    const { clock, findActiveSince: findDueSince, getSettings, log, probe, source } = options;
     const isDue = () => findDueSince() !== undefined;
-    this.reader = new listReaders.ListReader({
+    this.reader = new listReaders.UpstreamListReader({
       source,
       clock,
       log,
       getAddress: () => getSettings().listAddress,
-      isDue,
+      isActive: isDue,
       getPauseMs: (calls) => this.getPauseMs(calls),
       idlePauseMs: IDLE_PAUSE_MS,
       getCallsPerS: () => getSettings().listCallsPerS,
-      givesWay: false,
+      backsOff: false,
       random: Math.random,
-      take: (list) => this.take(list),
+      onList: (list) => this.take(list),
     });
-    this.leaving = new leavingWatches.LeavingWatch({
+    this.leaving = new leavingWatches.LeavingEngineMonitor({
       probe,
       clock,
       log,
-      isDue,
+      isActive: isDue,
       pauseMs: PROBE_PAUSE_MS,
       listEngines: () => this.listEngines(),
       onChange: () => this.renewSoon(),
@@ -113,12 +113,12 @@
 
   /** The list in force, once one was read. What was read in a former leadership may be old by minutes. */
   public getList(): procedures.UpstreamList | undefined {
-    const dueSince = this.options.findDueSince();
+    const dueSince = this.options.findActiveSince();
     return dueSince !== undefined && this.inForceReadAt >= dueSince ? this.list : undefined;
   }
 
   /** The list in force as bytes, made once for all who are told. */
-  public getPacked(): Uint8Array | undefined {
+  public getPackedList(): Uint8Array | undefined {
     if (this.list !== undefined) {
       this.packed ??= procedures.packList(this.list);
     }
@@ -137,7 +137,7 @@
 
   /** The pause between two readings, in milliseconds; a list of many pages is read less often. */
   public getPeriodMs(): number {
-    return this.getPauseMs(this.reader.getCalls());
+    return this.getPauseMs(this.reader.getLastCallCount());
   }
 
   private take({ upstreams }: procedures.UpstreamList): void {
@@ -195,7 +195,7 @@
   }
 
   /** Engines whose runs can be taken over. */
-  private listEngines(): leavingWatches.WatchedEngine[] {
+  private listEngines(): leavingWatches.MonitoredEngine[] {
     return this.listed.flatMap(({ address, isLeaving, service, upstreamId }) => {
       const found = this.options.findService(service);
       return found?.engine?.canMove === true && !isLeaving
--- a/packages/gateway/src/upstream-picker.ts
+++ b/packages/gateway/src/upstream-picker.ts
@@ -28,22 +28,22 @@
   /** Its share of busy places or of memory when it was picked, for the log. */
   readonly share: number;
   /** Who keeps a copy while the generation runs. */
-  readonly copyAt: upstreamDirectories.KnownUpstream | undefined;
+  readonly backupEngine: upstreamDirectories.KnownUpstream | undefined;
   /** How long it waited for room, in milliseconds. */
   readonly waitedMs: number;
   /** Whether this host chose by what it knows, without the account of all hosts. */
-  readonly isAlone: boolean;
+  readonly isFallback: boolean;
 }
 
 /** What the leader said of a run that can be handed over. */
-export interface TakerAnswer {
+export interface MigrationAnswer {
   /** Whether the leader answered, and with what this host knows. */
-  readonly wasAsked: boolean;
-  readonly taker: upstreamDirectories.KnownUpstream | undefined;
+  readonly isAnswered: boolean;
+  readonly target: upstreamDirectories.KnownUpstream | undefined;
 }
 
 /** How a generation waits for its place. */
-export interface PlaceWait {
+export interface PlacementWait {
   /** How long it may wait for room, in milliseconds. */
   readonly patienceMs: number;
   /** In how many milliseconds its first event is due. */
@@ -57,28 +57,28 @@
   /** Where a generation goes; nothing when nobody answers and this host has to choose alone. */
   place(
     service: string,
-    need: routing.PlaceNeed,
-    wait: PlaceWait,
+    need: routing.PlacementSpec,
+    wait: PlacementWait,
   ): Promise<procedures.PlaceRes | undefined>;
   /** Which engine takes a run over when that comes up meanwhile; nothing when nobody answers. */
-  awaitHandOver(
+  awaitMigration(
     service: string,
-    run: procedures.OfferedRun,
-  ): Promise<procedures.HandOverRes | undefined>;
+    run: procedures.MigrationOffer,
+  ): Promise<procedures.MigrationRes | undefined>;
   /** Notes what became of a generation that runs here. */
-  noteRun(callId: string, event: procedures.RunNote['event']): void;
+  noteRun(callId: string, event: procedures.GenerationEvent['event']): void;
   /** Notes that a generation runs here, wherever that was decided. */
-  enter(service: string, need: routing.PlaceNeed, engineId: string): void;
+  registerRun(service: string, need: routing.PlacementSpec, engineId: string): void;
   /** Notes that it runs no longer. */
-  leave(callId: string, hasFailed: boolean): void;
+  unregisterRun(callId: string, hasFailed: boolean): void;
 }
 
 /** What the picker needs. */
 export interface UpstreamPickerOptions {
   readonly directory: upstreamDirectories.UpstreamDirectory;
-  readonly pools: GenerationPlacer;
+  readonly placer: GenerationPlacer;
   readonly availabilityZone: string;
-  readonly coldShare: routing.ColdShare;
+  readonly coldShare: routing.ColdSendQuota;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly random: () => number;
@@ -100,8 +100,8 @@
     const patienceMs = Math.min(call.route.targetMs * PATIENCE_SHARE, call.endsAt - now);
     const dueInMs = call.arrivedAt + call.route.targetMs - now;
     const need = this.createNeed(call, [...tried, ...this.listBarred(call)]);
-    const wait = { patienceMs, dueInMs, rank: generationCalls.getRank(call) };
-    const res = await this.options.pools.place(call.service.name, need, wait);
+    const wait = { patienceMs, dueInMs, rank: generationCalls.getPriority(call) };
+    const res = await this.options.placer.place(call.service.name, need, wait);
     if (res !== undefined && res.placed === undefined && res.isUnknown !== true) {
       const { full, waitedMs } = res;
       this.options.log.info({
@@ -120,34 +120,37 @@
       return this.pickAt(call, this.pickAlone(call, tried).known);
     }
     const chosen = picked ?? this.pickAlone(call, tried);
-    this.options.pools.enter(call.service.name, need, chosen.upstreamId);
+    this.options.placer.registerRun(call.service.name, need, chosen.upstreamId);
     return chosen;
   }
 
   /** Waits until a run is to be handed over, and gives the engine that takes it; nothing when that did not come up. */
-  public async awaitTaker(
+  public async awaitMigrationTarget(
     call: callAdmissions.AdmittedCall,
     engineId: string,
     excluded: readonly string[],
-  ): Promise<TakerAnswer> {
+  ): Promise<MigrationAnswer> {
     const callId = call.facts.requestId;
     const run = { callId, engineId, excluded: [...excluded, ...this.listBarred(call)] };
-    const { log, pools } = this.options;
-    const res = await pools.awaitHandOver(call.service.name, run);
+    const { log, placer: pools } = this.options;
+    const res = await pools.awaitMigration(call.service.name, run);
     const taker = this.findHolder(call, res?.takerId);
     if (res?.takerId !== undefined && taker === undefined) {
       // The leader has read of an engine that this host's list lacks yet. Told nothing it would take the run for copied.
       log.info({ decision: 'taker-unknown', request: run.callId, upstream: res.takerId });
       pools.noteRun(run.callId, 'turn-over');
-      return { wasAsked: false, taker };
+      return { isAnswered: false, target: taker };
     }
-    return { wasAsked: res !== undefined, taker };
+    return { isAnswered: res !== undefined, target: taker };
   }
 
   /** Notes what became of a generation. */
-  public noteRun(call: callAdmissions.AdmittedCall, event: procedures.RunNote['event']): void {
+  public noteRun(
+    call: callAdmissions.AdmittedCall,
+    event: procedures.GenerationEvent['event'],
+  ): void {
     if (generationCalls.isGeneration(call)) {
-      this.options.pools.noteRun(call.facts.requestId, event);
+      this.options.placer.noteRun(call.facts.requestId, event);
     }
   }
 
@@ -166,9 +169,9 @@
       wantsCopy: false,
       ranMs: this.options.clock.now() - call.arrivedAt,
     };
-    const wait = { patienceMs: 0, dueInMs: 0, rank: generationCalls.getRank(call) };
-    const res = await this.options.pools.place(call.service.name, need, wait);
-    this.options.pools.enter(call.service.name, need, holder.upstreamId);
+    const wait = { patienceMs: 0, dueInMs: 0, rank: generationCalls.getPriority(call) };
+    const res = await this.options.placer.place(call.service.name, need, wait);
+    this.options.placer.registerRun(call.service.name, need, holder.upstreamId);
     const copyAt = this.findHolder(call, res?.placed?.copyAt);
     return this.createPicked(holder, copyAt);
   }
@@ -178,13 +181,13 @@
     copyAt: upstreamDirectories.KnownUpstream | undefined,
   ): PickedUpstream {
     const { upstreamId } = known;
-    return { upstreamId, known, share: 0, copyAt, waitedMs: 0, isAlone: false };
+    return { upstreamId, known, share: 0, backupEngine: copyAt, waitedMs: 0, isFallback: false };
   }
 
   /** Notes that a call runs no longer. */
   public release(call: callAdmissions.AdmittedCall, hasFailed: boolean): void {
     if (generationCalls.isGeneration(call)) {
-      this.options.pools.leave(call.facts.requestId, hasFailed);
+      this.options.placer.unregisterRun(call.facts.requestId, hasFailed);
     }
   }
 
@@ -200,9 +203,9 @@
         upstreamId: known.upstreamId,
         known,
         share: placed.share,
-        copyAt: this.findHolder(call, placed.copyAt),
+        backupEngine: this.findHolder(call, placed.copyAt),
         waitedMs: res.waitedMs,
-        isAlone: false,
+        isFallback: false,
       }
     );
   }
@@ -214,7 +217,7 @@
   ): upstreamDirectories.KnownUpstream | undefined {
     const { directory } = this.options;
     const known = upstreamId === undefined ? undefined : directory.find(upstreamId);
-    return known !== undefined && directory.mayBeSent(known, regions) ? known : undefined;
+    return known !== undefined && directory.isPlacementAllowed(known, regions) ? known : undefined;
   }
 
   private createNeed(call: callAdmissions.AdmittedCall, excluded: string[]) {
@@ -222,7 +225,7 @@
       callId: call.facts.requestId,
       availabilityZone: this.options.availabilityZone,
       promptTokens: call.facts.generation?.promptTokens ?? 0,
-      answerTokens: generationCalls.getAnswerTokens(call),
+      answerTokens: generationCalls.getExpectedAnswerTokens(call),
       leftMs: call.endsAt - this.options.clock.now(),
       excluded,
       wantsCopy: call.service.engine?.canBackUp === true,
@@ -247,16 +250,18 @@
     }
     const { known, upstreamId } = chosen;
     if (call.service.coldCallsPerS !== undefined && isMaybeCold(known, now)) {
-      this.options.coldShare.note(upstreamId, now);
+      this.options.coldShare.recordSend(upstreamId, now);
     }
     const share = isEngine
       ? routing.getMemoryShare(chosen, now)
-      : known.load.getBusy(now) / chosen.slots;
-    return { upstreamId, known, share, copyAt: undefined, waitedMs: 0, isAlone: true };
+      : known.load.getActiveCalls(now) / chosen.slots;
+    return { upstreamId, known, share, backupEngine: undefined, waitedMs: 0, isFallback: true };
   }
 
   private listBarred({ regions, service }: callAdmissions.AdmittedCall): string[] {
-    return regions === undefined ? [] : this.options.directory.listBarred(service.name, regions);
+    return regions === undefined
+      ? []
+      : this.options.directory.listDisallowed(service.name, regions);
   }
 
   /** Whether an upstream bears a call of this host now: a cold one crashes under what all hosts would send. */
@@ -270,7 +275,7 @@
     return (
       coldCallsPerS === undefined ||
       !isMaybeCold(known, now) ||
-      coldShare.mayTake({ upstreamId, callsPerS: coldCallsPerS }, now)
+      coldShare.canSend({ upstreamId, callsPerS: coldCallsPerS }, now)
     );
   }
 
@@ -325,7 +330,7 @@
 }
 
 function isMaybeCold(
-  { coldUntil, untoldColdUntil }: upstreamDirectories.KnownUpstream,
+  { coldUntil, unlistedColdUntil: untoldColdUntil }: upstreamDirectories.KnownUpstream,
   now: number,
 ): boolean {
   return Math.max(coldUntil, untoldColdUntil) > now;
--- a/packages/gateway/tests/crash-guard.test.ts
+++ b/packages/gateway/tests/crash-guard.test.ts
@@ -5,8 +5,8 @@
 import * as telemetry from '@bramleyridge/telemetry';
 import * as tap from 'tap';
 
-import * as suspectDesks from '../src/suspect-desk.js';
-import * as suspectLinks from '../src/suspect-link.js';
+import * as suspectDesks from '../src/suspect-registry.js';
+import * as suspectLinks from '../src/suspect-client.js';
 import * as sites from './support/small-site.js';
 
 const END = { processId: 'p1', isEarly: true, wasAlone: false };
@@ -95,7 +95,7 @@
   const clock = new schemas.VirtualClock();
   const leader = { isUp: false, permitMs: 0, taken: [] as unknown[], shared: [] as unknown[] };
   const ledger = new routing.CrashLedger();
-  const link = new suspectLinks.SuspectLink({
+  const link = new suspectLinks.SuspectClient({
     mesh: {
       get: () =>
         ({
@@ -154,14 +154,14 @@
 void tap.default.test('a suspect waits for a leader that does not answer', async (t) => {
   const { clock, leader, link } = createLink();
   const ask = { digest: 'bad', processId: 'p2', mayShare: true };
-  const asked = link.askPermit(ask);
+  const asked = link.requestPermit(ask);
   await clock.advance(450);
   leader.isUp = true;
   await clock.advance(200);
   t.same(await asked, { kind: 'go' });
 
   leader.isUp = false;
-  const unanswered = link.askPermit(ask);
+  const unanswered = link.requestPermit(ask);
   await clock.advance(1_100);
   t.equal(await unanswered, undefined, 'but not for ever');
   link.stop();
@@ -172,7 +172,7 @@
   const { clock, leader, link } = createLink();
   leader.isUp = true;
   leader.permitMs = 300;
-  const asked = link.askPermit({ digest: 'bad', processId: 'p2', mayShare: true });
+  const asked = link.requestPermit({ digest: 'bad', processId: 'p2', mayShare: true });
   await clock.advance(400);
   t.same(await asked, { kind: 'go' });
   link.stop();
@@ -183,7 +183,7 @@
   const { clock, leader, link } = createLink();
   leader.isUp = true;
   leader.permitMs = 700;
-  const asked = link.askPermit({ digest: 'bad', processId: 'p2', mayShare: true });
+  const asked = link.requestPermit({ digest: 'bad', processId: 'p2', mayShare: true });
   await clock.advance(1_100);
   t.same(await asked, { kind: 'go' });
   link.stop();
@@ -192,7 +192,7 @@
 /** A link to a leader whose answers are lost while the test says so; what was asked has been done all the same. */
 function createLossyLink(clock: schemas.VirtualClock, quarantine: routing.QuarantineState) {
   const createDesk = (term: number) => {
-    const desk = new suspectDesks.SuspectDesk({
+    const desk = new suspectDesks.SuspectRegistry({
       clock,
       log: new schemas.SilentLog(),
       metrics: new telemetry.TextMetrics(),
@@ -202,11 +202,11 @@
         quarantine.apply(entry);
       },
     });
-    desk.lead(term);
+    desk.startLeading(term);
     return desk;
   };
   const leader = { desk: createDesk(1), isAnswerLost: false, granted: 0 };
-  const link = new suspectLinks.SuspectLink({
+  const link = new suspectLinks.SuspectClient({
     mesh: {
       get: () =>
         ({
@@ -249,16 +249,16 @@
     for (let i = 0; i < 3; i += 1) {
       await clock.advance(12_000);
       leader.isAnswerLost = true;
-      const unanswered = link.askPermit(ask);
+      const unanswered = link.requestPermit(ask);
       await clock.advance(3_000);
       t.equal(await unanswered, undefined);
     }
     leader.isAnswerLost = false;
-    const asked = link.askPermit(ask);
+    const asked = link.requestPermit(ask);
     await clock.advance(100);
     t.same(await asked, { kind: 'go' }, 'however long after');
     t.equal(quarantine.list()[0]?.chances, 1, 'and is counted once');
-    const second = link.askPermit(ask);
+    const second = link.requestPermit(ask);
     await clock.advance(100);
     t.match(await second, { kind: 'refused' }, 'but is given once');
     link.stop();
@@ -273,7 +273,7 @@
   leader.desk.report({ hostId: 'host', runs: HELD_RUNS });
   for (let i = 0; i < 3; i += 1) {
     await clock.advance(12_000);
-    const asked = link.askPermit({ digest: 'good', processId: `p${4 + i}`, mayShare: true });
+    const asked = link.requestPermit({ digest: 'good', processId: `p${4 + i}`, mayShare: true });
     await clock.advance(100);
     const permit = await asked;
     t.same(permit, { kind: 'go' });
@@ -281,7 +281,7 @@
       hostId: 'host',
       runs: [{ kind: 'over', digest: 'good', processId: `p${4 + i}` }],
     });
-    link.keepPermit(permit!);
+    link.keepUnusedPermit(permit!);
   }
   t.equal(quarantine.list()[0]?.chances, 1, 'counted once');
   link.stop();
@@ -297,12 +297,12 @@
     leader.desk.report({ hostId: 'host', runs: HELD_RUNS });
     await clock.advance(4_000);
     leader.isAnswerLost = true;
-    const unanswered = link.askPermit({ digest: 'good', processId: 'p4', mayShare: true });
+    const unanswered = link.requestPermit({ digest: 'good', processId: 'p4', mayShare: true });
     await clock.advance(3_000);
     t.equal(await unanswered, undefined);
     leader.desk = createDesk(2);
     leader.isAnswerLost = false;
-    const asked = link.askPermit({ digest: 'good', processId: 'p5', mayShare: true });
+    const asked = link.requestPermit({ digest: 'good', processId: 'p5', mayShare: true });
     await clock.advance(100);
     t.same(await asked, { kind: 'go' });
     t.equal(quarantine.list()[0]?.chances, 1);
@@ -314,10 +314,10 @@
   // The leader's word takes the place of what the host knows, also when it was on its way before the host's report.
   const { ledger, link } = createLink();
   const changes = { revision: 0, isWhole: true, suspects: [], cleared: [] };
-  link.take({ term: 1, changes });
-  ledger.noteEnd('bad', END, 0);
+  link.applyUpdates({ term: 1, changes });
+  ledger.recordProcessEnd('bad', END, 0);
   link.report({ kind: 'ended', digest: 'bad', end: END });
-  link.take({ term: 1, changes });
+  link.applyUpdates({ term: 1, changes });
   t.equal(ledger.getStanding('bad'), 'suspect');
   link.stop();
   return Promise.resolve();
@@ -330,7 +330,7 @@
     const quarantine = new routing.QuarantineState();
     const clock = new schemas.VirtualClock();
     const isWritable = { now: true };
-    const desk = new suspectDesks.SuspectDesk({
+    const desk = new suspectDesks.SuspectRegistry({
       clock,
       log: new schemas.SilentLog(),
       metrics: new telemetry.TextMetrics(),
@@ -343,7 +343,7 @@
         return Promise.resolve();
       },
     });
-    desk.lead(1);
+    desk.startLeading(1);
     const ends = ['p1', 'p2', 'p3'].map((processId) => ({ ...END, processId }));
     const runs = ends.map((end) => ({ kind: 'ended', digest: 'bad', end }) as const);
     desk.report({ hostId: 'host', runs });
@@ -359,7 +359,7 @@
 );
 
 function createLeaderDesk(clock: schemas.VirtualClock, quarantine: routing.QuarantineState) {
-  return new suspectDesks.SuspectDesk({
+  return new suspectDesks.SuspectRegistry({
     clock,
     log: new schemas.SilentLog(),
     metrics: new telemetry.TextMetrics(),
@@ -373,13 +373,13 @@
   const clock = new schemas.VirtualClock();
   const quarantine = new routing.QuarantineState();
   const desk = createLeaderDesk(clock, quarantine);
-  desk.lead(1);
+  desk.startLeading(1);
   desk.report({ hostId: 'host', runs: HELD_RUNS });
   await clock.advance(10);
   t.equal(quarantine.list().length, 1);
   quarantine.apply({ quarantine: { kind: 'cleared', digest: 'good' } });
-  desk.lead(3);
-  t.same(desk.findNews({ term: 1, revision: 0 }, 3)?.changes.suspects, []);
+  desk.startLeading(3);
+  t.same(desk.findUpdates({ term: 1, revision: 0 }, 3)?.changes.suspects, []);
   t.same(quarantine.list(), [], 'and does not put it into the log again');
 });
 
@@ -390,10 +390,10 @@
   const tell = (digest: string, processId: string) =>
     desk.report({ hostId: 'host', runs: [{ kind: 'ended', digest, end: { ...END, processId } }] });
   const getStanding = (digest: string) => {
-    const { suspects } = desk.findNews({ term: -1, revision: 0 }, 1)!.changes;
+    const { suspects } = desk.findUpdates({ term: -1, revision: 0 }, 1)!.changes;
     return routing.getStanding(suspects.find((facts) => facts.digest === digest)!);
   };
-  desk.lead(1);
+  desk.startLeading(1);
   tell('early', 'p1');
   tell('early', 'p2');
   t.equal(getStanding('early'), 'suspect', 'not while the leader may lack runs of the time before');
@@ -405,7 +405,11 @@
   tell('good', 'p4');
   t.equal(getStanding('good'), 'suspect', 'another one did');
   const ask = { hostId: 'host', digest: 'good', processId: 'p8', mayShare: true };
-  t.same(await desk.permitRun(ask), { kind: 'go', isAlone: true }, 'and a host is told of others');
+  t.same(
+    await desk.permitWithFacts(ask),
+    { kind: 'go', isAlone: true },
+    'and a host is told of others',
+  );
 });
 
 void tap.default.test('a new leader is told before its word is taken', async (t) => {
@@ -413,13 +417,13 @@
   // would have an upstream more.
   const { clock, leader, ledger, link } = createLink();
   const changes = { revision: 0, isWhole: true, suspects: [], cleared: [] };
-  link.take({ term: 1, changes });
-  ledger.noteEnd('bad', END, 0);
-  link.take({ term: 2, changes });
+  link.applyUpdates({ term: 1, changes });
+  ledger.recordProcessEnd('bad', END, 0);
+  link.applyUpdates({ term: 2, changes });
   t.equal(ledger.getStanding('bad'), 'suspect', 'its word is not taken yet');
   await clock.advance(100);
   t.match(leader.shared, [{ digest: 'bad' }]);
-  link.take({ term: 2, changes: { ...changes, cleared: ['bad'] } });
+  link.applyUpdates({ term: 2, changes: { ...changes, cleared: ['bad'] } });
   t.equal(ledger.getStanding('bad'), 'free', 'and then it is');
   link.stop();
 });
@@ -430,7 +434,7 @@
     // It is ready with that answer. A call that came before the next one was sent as if nothing were known.
     const { link, ledger } = createLink();
     const suspects = [{ digest: 'bad', ends: [END], chances: 0 }];
-    link.take({ term: 1, changes: { revision: 1, isWhole: true, suspects, cleared: [] } });
+    link.applyUpdates({ term: 1, changes: { revision: 1, isWhole: true, suspects, cleared: [] } });
     t.equal(ledger.getStanding('bad'), 'suspect');
     link.stop();
     return Promise.resolve();
--- a/packages/gateway/tests/crashing-calls.test.ts
+++ b/packages/gateway/tests/crashing-calls.test.ts
@@ -1,6 +1,6 @@
 import * as tap from 'tap';
 
-import * as fragileUpstreams from './support/fragile-upstreams.js';
+import * as fragileUpstreams from './support/crashing-upstreams.js';
 import type * as sites from './support/small-site.js';
 
 // Seen: callers' answers break off on one engine after the other, for a minute and more.
@@ -38,7 +38,7 @@
 ] as const;
 
 /** How often a bad call was sent after all hosts could know that it had ended three upstreams. */
-function countLate(upstreams: fragileUpstreams.FragileUpstreams, body: string): number {
+function countLate(upstreams: fragileUpstreams.CrashingUpstreams, body: string): number {
   const third = upstreams.listEnds(body)[2];
   return upstreams.countSince(body, (third?.at ?? Infinity) + REACH_MS);
 }
@@ -96,7 +96,7 @@
 }
 
 void tap.default.test('a call that ends its upstreams is not sent for ever', async (t) => {
-  const { site, upstreams } = await fragileUpstreams.createFragileSite(t, ENTRY_HOSTS);
+  const { site, upstreams } = await fragileUpstreams.createCrashingSite(t, ENTRY_HOSTS);
   const startedAt = Date.now();
   const day = new CallersDay(site);
   await day.play();
@@ -116,7 +116,7 @@
 void tap.default.test('a new leader knows which calls end their upstreams', async (t) => {
   // The account of all hosts is kept by the leader. One that rises knows only what the hosts tell it; without that the
   // call would get its three upstreams again after each change of the leader.
-  const { site, upstreams } = await fragileUpstreams.createFragileSite(t, ENTRY_HOSTS);
+  const { site, upstreams } = await fragileUpstreams.createCrashingSite(t, ENTRY_HOSTS);
   const day = new CallersDay(site);
   await day.play((round) => {
     if (round === 22) {
@@ -131,12 +131,12 @@
 void tap.default.test('what is quarantined outlives a loss of power of all hosts', async (t) => {
   // The account is in the memory of hosts, and all of them lose it at one moment. Without what the log holds each bad call
   // would get its upstreams again after every such loss.
-  const { site, upstreams } = await fragileUpstreams.createFragileSite(t, ENTRY_HOSTS);
+  const { site, upstreams } = await fragileUpstreams.createCrashingSite(t, ENTRY_HOSTS);
   const day = new CallersDay(site);
   await day.play(() => {}, ALL_CHANCES_MS);
-  await site.losePower();
+  await site.powerCycle();
   const since = Date.now();
-  await fragileUpstreams.waitServed(site);
+  await fragileUpstreams.waitUntilReady(site);
   await day.play(() => {}, REACH_MS);
   KINDS.forEach(({ name, bad }) => {
     t.equal(upstreams.countSince(bad, since), 0, `${name}: not sent again`);
--- a/packages/gateway/tests/crashing-fleet.test.ts
+++ b/packages/gateway/tests/crashing-fleet.test.ts
@@ -1,6 +1,6 @@
 import * as tap from 'tap';
 
-import * as crashFleets from './support/crash-fleet.js';
+import * as crashFleets from './support/fleet-simulation.js';
 
 // Callers see answers break off on one engine after the other, and good calls are refused that were only there by chance.
 // Bad calls end the engine that begins to run them and come back at any host; engines also end by themselves, under long
@@ -27,7 +27,7 @@
  */
 const KEPT_SEEDS = [100];
 
-const PLAN: crashFleets.FleetPlan = {
+const PLAN: crashFleets.FleetSimulationOptions = {
   hosts: 30,
   engines: 30,
   badCalls: 3,
@@ -41,7 +41,7 @@
 
 interface NamedPlan {
   readonly name: string;
-  readonly plan: crashFleets.FleetPlan;
+  readonly plan: crashFleets.FleetSimulationOptions;
   /** Set where engines end faster than they come back, and next to nothing is served at first. */
   readonly isOverrun?: boolean;
 }
@@ -69,7 +69,7 @@
   readonly asked: number;
 }
 
-function sumUp(fleet: crashFleets.CrashFleet): Totals {
+function sumUp(fleet: crashFleets.FleetSimulation): Totals {
   const bad = fleet.listBad();
   const good = fleet.listGood();
   return {
@@ -85,8 +85,8 @@
     const all: Totals[] = [];
     const drawn = Array.from({ length: SEEDS }, (_, n) => FIRST_SEED + n);
     for (const seed of [...drawn, ...KEPT_SEEDS]) {
-      const fleet = new crashFleets.CrashFleet(seed, plan);
-      await fleet.play();
+      const fleet = new crashFleets.FleetSimulation(seed, plan);
+      await fleet.simulate();
       const totals = sumUp(fleet);
       all.push(totals);
       t.ok(totals.mostLate <= MOST_LATE_SENDS, `seed ${seed}: ${totals.mostLate} late sends`);
@@ -110,8 +110,8 @@
   const spells = { leaderMs: 5_000, leaderlessMs: 15_000, relays: 3 };
   const plan = { ...PLAN, ...spells, hosts: 60, engines: 40, hostMs: Infinity, durationMs: 40_000 };
   for (let seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed += 1) {
-    const fleet = new crashFleets.CrashFleet(seed, plan);
-    await fleet.play();
+    const fleet = new crashFleets.FleetSimulation(seed, plan);
+    await fleet.simulate();
     const mostLate = Math.max(...fleet.listBad().map((seen) => seen.countAllLate()));
     const { asked, mostEnds, refused } = sumUp(fleet);
     t.ok(mostLate <= MOST_LATE_SENDS, `seed ${seed}: ${mostLate} late sends`);
@@ -124,8 +124,8 @@
 void tap.default.test('a good call that is quarantined without a leader is served', async (t) => {
   const spells = { leaderMs: 5_000, leaderlessMs: 15_000, relays: 3 };
   const plan = { ...PLAN, ...spells, hosts: 60, engines: 40, hostMs: Infinity, durationMs: 40_000 };
-  const fleet = new crashFleets.CrashFleet(9, plan);
-  await fleet.play();
+  const fleet = new crashFleets.FleetSimulation(9, plan);
+  await fleet.simulate();
   const { asked, refused } = sumUp(fleet);
   t.ok(refused <= asked * MOST_REFUSED_PART, `${refused} of ${asked} refused`);
 });
@@ -133,8 +133,8 @@
 // Guards against late sends of a call whose first ends were seen only by a host that was cut off and then restarted.
 void tap.default.test('what a host learns while it is cut off outlives its restart', async (t) => {
   const plan = { ...PLAN, hosts: 8, engines: 8, crashMs: 8_000 };
-  const fleet = new crashFleets.CrashFleet(102, plan);
-  await fleet.play();
+  const fleet = new crashFleets.FleetSimulation(102, plan);
+  await fleet.simulate();
   const { mostLate } = sumUp(fleet);
   t.ok(mostLate <= MOST_LATE_SENDS, `${mostLate} late sends`);
 });
--- a/packages/gateway/tests/declare.test.ts
+++ b/packages/gateway/tests/declare.test.ts
@@ -14,15 +14,15 @@
   await t.test('a lower version is acknowledged and changes nothing', async (t2) => {
     await site.declare({});
     const old = JSON.stringify(sites.createConfig(1));
-    t2.same(await site.getDesk().declare(old), { version: 2 });
-    const newest = await site.getDesk('127.0.1.4').read();
+    t2.same(await site.getOperatorService().declare(old), { version: 2 });
+    const newest = await site.getOperatorService('127.0.1.4').read();
     t2.equal(newest?.version, 2, 'and a host without a seat reads the newest too');
   });
 
   await t.test('other content under the version held is never read back', async (t2) => {
     const other = JSON.stringify({ ...sites.createConfig(2), routes: [] });
-    t2.same(await site.getDesk().declare(other), { version: 2 });
-    const newest = await site.getDesk().read();
+    t2.same(await site.getOperatorService().declare(other), { version: 2 });
+    const newest = await site.getOperatorService().read();
     t2.equal(newest?.text, JSON.stringify(sites.createConfig(2)));
   });
 
@@ -44,9 +44,13 @@
     };
     for (const [name, document] of Object.entries(cases)) {
       const text = typeof document === 'string' ? document : JSON.stringify(document);
-      await t2.rejects(site.getDesk().declare(text), { options: { status: 400 } } as never, name);
+      await t2.rejects(
+        site.getOperatorService().declare(text),
+        { options: { status: 400 } } as never,
+        name,
+      );
     }
-    t2.equal((await site.getDesk().read())?.version, 2);
+    t2.equal((await site.getOperatorService().read())?.version, 2);
   });
 
   await t.test(
@@ -63,7 +67,7 @@
       site.stopCore('127.0.1.2');
       const version = await site.declare({});
       await site.until('in force', () => site.entry.store.getVersion() === version);
-      t2.equal((await site.getDesk().read())?.version, version);
+      t2.equal((await site.getOperatorService().read())?.version, version);
     },
   );
 
@@ -74,6 +78,6 @@
       ),
     );
     const version = await site.declare({});
-    t2.equal((await site.getDesk().read())?.version, version);
+    t2.equal((await site.getOperatorService().read())?.version, version);
   });
 });
--- a/packages/gateway/tests/entry-news.test.ts
+++ b/packages/gateway/tests/entry-update-service.test.ts
@@ -1,8 +1,8 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as tap from 'tap';
 
-import * as entryNews from '../src/entry-news.js';
-import * as entryTables from '../src/entry-table.js';
+import * as entryNews from '../src/entry-update-service.js';
+import * as entryTables from '../src/entry-host-registry.js';
 
 function createNews(clock: schemas.Clock) {
   const signal = new schemas.ChangeSignal();
@@ -14,10 +14,10 @@
     getLeadership: () => ({ term: 1, startedAt: 0 }),
     voter: { leader: 'c1' },
   };
-  return new entryNews.EntryNews({
+  return new entryNews.EntryUpdateService({
     group: group as never,
-    table: { listAll: () => ['c1'] } as never,
-    entries: new entryTables.EntryTable(clock),
+    registry: { listAll: () => ['c1'] } as never,
+    entries: new entryTables.EntryHostRegistry(clock),
     lists: {
       getList: () => undefined,
       getAgeMs: () => undefined,
--- a/packages/gateway/tests/evacuation-history.test.ts
+++ b/packages/gateway/tests/evacuation-history.test.ts
@@ -74,7 +74,7 @@
         await site.clock.advance(CATCH_UP_MS);
       }
     }
-    const zones = await site.readZones();
+    const zones = await site.readEvacuatedZones();
     const wrong = zones === undefined ? 'unreadable' : history.findFault(zones);
     fault = wrong === undefined ? undefined : `step ${step}: zone ${wrong}, read ${String(zones)}`;
     for (const [coreId, revision] of site.listRevisions()) {
@@ -115,6 +115,6 @@
   hosts.forEach((coreId) => site.kill(coreId));
   hosts.forEach((coreId) => site.restart(coreId));
   await site.clock.advance(CATCH_UP_MS);
-  t.same(await site.readZones(), ['a'], 'and each from its own disk');
+  t.same(await site.readEvacuatedZones(), ['a'], 'and each from its own disk');
   site.stop();
 });
--- a/packages/gateway/tests/evacuations.test.ts
+++ b/packages/gateway/tests/evacuations.test.ts
@@ -3,7 +3,7 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as tap from 'tap';
 
-import * as evacuationOrders from '../src/evacuation-orders.js';
+import * as evacuationOrders from '../src/evacuation-service.js';
 import * as leaderClients from '../src/leader-client.js';
 import * as sites from './support/small-site.js';
 
@@ -90,7 +90,7 @@
 void tap.default.test('an evacuation outlives a loss of power of all hosts', async (t) => {
   const { site, upstreams } = await createSite(t);
   await site.evacuate('b', true);
-  await site.losePower();
+  await site.powerCycle();
   await waitLive(site, 2);
   upstreams.clear();
   t.same(await callAll(site), [200]);
@@ -179,7 +179,7 @@
 });
 
 void tap.default.test('an order on a zone that is not there is refused', async (t) => {
-  const orders = new evacuationOrders.EvacuationOrders({
+  const orders = new evacuationOrders.EvacuationService({
     group: {} as never,
     leader: {} as never,
     listZones: () => ['a', 'b'],
@@ -187,14 +187,14 @@
     log: new schemas.SilentLog(),
   });
   const { signal } = new AbortController();
-  await t.rejects(orders.order('c', true, signal), { options: { status: 404 } } as never);
+  await t.rejects(orders.setEvacuated('c', true, signal), { options: { status: 404 } } as never);
 });
 
 function createRacingOrders(results: ('changed' | 'stale')[]) {
   const clock = new schemas.VirtualClock();
   const state = { zones: [] as string[], revision: 4, proposed: 0 };
   const leader = {
-    ask: async (
+    request: async (
       _here: unknown,
       there: (api: unknown, options: unknown) => Promise<unknown>,
       _ms: number,
@@ -219,7 +219,7 @@
       );
     },
   };
-  const orders = new evacuationOrders.EvacuationOrders({
+  const orders = new evacuationOrders.EvacuationService({
     group: {} as never,
     leader: leader as never,
     listZones: () => undefined,
@@ -233,13 +233,13 @@
 void tap.default.test('an order that lost a race is given anew, or refused in time', async (t) => {
   const { signal } = new AbortController();
   const won = createRacingOrders(['stale', 'changed']);
-  const ordered = won.orders.order('a', true, signal);
+  const ordered = won.orders.setEvacuated('a', true, signal);
   await won.clock.advance(1_000);
   t.match(await ordered, { zones: ['a'] });
   t.equal(won.state.proposed, 2);
 
   const lost = createRacingOrders([]);
-  const refused = t.rejects(lost.orders.order('a', true, signal), {
+  const refused = t.rejects(lost.orders.setEvacuated('a', true, signal), {
     options: { status: 503 },
   } as never);
   await lost.clock.advance(3_000);
@@ -270,7 +270,7 @@
     });
     const here = async () => Promise.reject(new Error('not here'));
     await t.rejects(
-      client.ask(
+      client.request(
         here,
         async (other) => (other as unknown as ReturnType<typeof api>).evacuate(),
         1_000,
@@ -287,6 +287,6 @@
   const { orders, state } = createRacingOrders(['changed']);
   const gone = new AbortController();
   gone.abort(new Error('left'));
-  await t.rejects(orders.order('a', true, gone.signal));
+  await t.rejects(orders.setEvacuated('a', true, gone.signal));
   t.equal(state.proposed, 0);
 });
--- a/packages/gateway/tests/leaderless-suspects.test.ts
+++ b/packages/gateway/tests/leaderless-suspects.test.ts
@@ -1,6 +1,6 @@
 import * as tap from 'tap';
 
-import * as fragileUpstreams from './support/fragile-upstreams.js';
+import * as fragileUpstreams from './support/crashing-upstreams.js';
 import type * as sites from './support/small-site.js';
 
 /** For how long no core host can lead, in milliseconds. */
@@ -53,7 +53,7 @@
 void tap.default.test(
   'hosts without a leader share what a call did to its upstreams',
   async (t) => {
-    const { site, upstreams } = await fragileUpstreams.createFragileSite(t, 4);
+    const { site, upstreams } = await fragileUpstreams.createCrashingSite(t, 4);
     const stopped = ['127.0.1.1', '127.0.1.2'];
     stopped.forEach((ip) => site.stopCore(ip));
     const statuses = await play(site, LEADERLESS_MS);
--- a/packages/gateway/tests/leaving-watch.test.ts
+++ b/packages/gateway/tests/leaving-engine-monitor.test.ts
@@ -1,12 +1,12 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as tap from 'tap';
 
-import * as leavingWatches from '../src/leaving-watch.js';
+import * as leavingWatches from '../src/leaving-engine-monitor.js';
 
 /** A watch over one engine, whose word the test sets. */
 function createWatch(clock: schemas.VirtualClock) {
   const engine = { word: false as boolean | Error, changes: 0 };
-  const watch = new leavingWatches.LeavingWatch({
+  const watch = new leavingWatches.LeavingEngineMonitor({
     probe: {
       isLeaving: async () => {
         if (engine.word instanceof Error) {
@@ -17,7 +17,7 @@
     },
     clock,
     log: new schemas.SilentLog(),
-    isDue: () => true,
+    isActive: () => true,
     pauseMs: 250,
     listEngines: () => [
       { upstreamId: 'e1', address: '127.0.0.1:1', healthPath: '/health', hasRuns: true },
@@ -77,7 +77,7 @@
 function createWideWatch(clock: schemas.VirtualClock, engineCount: number, runningCount: number) {
   const asked = new Map<string, number>();
   const state = { leaving: '', runningCount };
-  const watch = new leavingWatches.LeavingWatch({
+  const watch = new leavingWatches.LeavingEngineMonitor({
     probe: {
       isLeaving: async (address) => {
         asked.set(address, (asked.get(address) ?? 0) + 1);
@@ -86,7 +86,7 @@
     },
     clock,
     log: new schemas.SilentLog(),
-    isDue: () => true,
+    isActive: () => true,
     pauseMs: 200,
     listEngines: () =>
       Array.from({ length: engineCount }, (_, i) => ({
--- a/packages/gateway/tests/list-storm.test.ts
+++ b/packages/gateway/tests/list-rate-limit.test.ts
@@ -3,10 +3,10 @@
 import * as tap from 'tap';
 
 import * as entryListReaders from '../src/entry-list-reader.js';
-import * as listReaders from '../src/list-reader.js';
+import * as listReaders from '../src/upstream-list-reader.js';
 import type * as ports from '../src/ports.js';
 import * as upstreamDirectories from '../src/upstream-directory.js';
-import * as listedUpstreams from './support/listed-upstream.js';
+import * as listedUpstreams from './support/create-listed-upstream.js';
 
 /** The platform: how many calls it answers in a second, how many pages the list has, and how long a page takes. */
 const CALLS_PER_S = 50;
@@ -31,19 +31,23 @@
   public async list(
     _address: string,
     _signal: AbortSignal,
-    reading?: ports.ListReading,
-  ): Promise<ports.ReadList> {
+    reading?: ports.ListReadMonitor,
+  ): Promise<ports.ListReadResult> {
     for (let page = 0; page < this.pages; page += 1) {
       await this.clock.sleep(PAGE_MS);
       if (!this.isAllowed()) {
         this.refused += 1;
-        if ((await reading?.awaitRefused()) !== true) {
+        if ((await reading?.awaitRetryAllowed()) !== true) {
           throw new Error('too many calls');
         }
         page -= 1;
       }
     }
-    return { upstreams: [listedUpstreams.createListed('e1')], calls: this.pages, unreadable: 0 };
+    return {
+      upstreams: [listedUpstreams.createListedUpstream('e1')],
+      calls: this.pages,
+      unreadable: 0,
+    };
   }
 
   private isAllowed(): boolean {
@@ -65,18 +69,18 @@
   const source = new PagedList(clock);
   const settings = { listAddress: '127.0.0.1:1', listCallsPerS: CALLS_PER_S };
   let readAt: number | undefined;
-  const leader = new listReaders.ListReader({
+  const leader = new listReaders.UpstreamListReader({
     source,
     clock,
     log: LOG,
     random,
-    givesWay: false,
+    backsOff: false,
     getAddress: () => settings.listAddress,
     getCallsPerS: () => CALLS_PER_S,
-    isDue: () => clock.now() >= ELECTED_MS,
+    isActive: () => clock.now() >= ELECTED_MS,
     getPauseMs: () => 300,
     idlePauseMs: 20,
-    take: () => {
+    onList: () => {
       readAt ??= clock.now();
     },
   });
@@ -89,7 +93,7 @@
       random,
       getSettings: () => settings,
       reachesLeader: () => clock.now() > ELECTED_MS + 500,
-      getEntryHosts: () => 16,
+      countEntryHosts: () => 16,
       getPeriodMs: () => 0,
     }),
   );
@@ -129,14 +133,14 @@
     random: () => 0,
     getSettings: () => ({ listAddress: '127.0.0.1:1', listCallsPerS: CALLS_PER_S }),
     reachesLeader: () => false,
-    getEntryHosts: () => 16,
+    countEntryHosts: () => 16,
     getPeriodMs: () => 0,
   });
   void reader.run();
   await clock.advance(2_900);
-  t.notOk(directory.isKnown(), 'not at once');
+  t.notOk(directory.hasList(), 'not at once');
   await clock.advance(1_500);
-  t.ok(directory.isKnown(), 'but soon');
+  t.ok(directory.hasList(), 'but soon');
   reader.stop();
   await clock.advance(10_000);
 });
--- a/packages/gateway/tests/seat-keeper.test.ts
+++ b/packages/gateway/tests/membership-manager.test.ts
@@ -21,7 +21,7 @@
   for (const isLeader of [false, true]) {
     const site = await startSite(FOUR);
     const leader = site.findLeader()!;
-    const seated = site.listSeats();
+    const seated = site.listVoters();
     const first = isLeader ? leader : seated.find((coreId) => coreId !== leader)!;
     const tookMs = await site.stopHost(first);
     const second = seated.find((coreId) => coreId !== first)!;
@@ -29,19 +29,19 @@
     const who = isLeader ? 'the leader' : 'a follower';
     t.ok(tookMs < 500, `${who} is gone after ${Math.round(tookMs)} ms`);
     t.ok(await isServing(site), `${who}: the log goes on without another at once`);
-    t.notOk(site.listSeats().includes(first), `${who} has no seat`);
+    t.notOk(site.listVoters().includes(first), `${who} has no seat`);
     site.stop();
   }
 });
 
 void tap.default.test('a host that nobody can stand in for stops at once', async (t) => {
   const site = await startSite(FOUR.slice(0, 3));
-  const [first] = site.listSeats();
+  const [first] = site.listVoters();
   t.equal(await site.stopHost(first!), 0);
   t.ok(await isServing(site), 'the two others go on');
   site.restart(first!);
   await site.clock.advance(3_000);
-  t.same(site.listSeats(), FOUR.slice(0, 3), 'and it has its seat as before');
+  t.same(site.listVoters(), FOUR.slice(0, 3), 'and it has its seat as before');
   site.stop();
 });
 
@@ -71,7 +71,7 @@
     site.kill('b');
     t.ok(await isServing(site));
     t.same(
-      site.listSeats().filter((coreId) => coreId.startsWith('a')),
+      site.listVoters().filter((coreId) => coreId.startsWith('a')),
       ['a+'],
     );
     site.stop();
@@ -82,16 +82,16 @@
   // To take a host for gone that returns must cost nothing: it has no seat any more, and gets the next that is free.
   const site = await startSite(FOUR);
   const leader = site.findLeader()!;
-  const away = site.listSeats().find((coreId) => coreId !== leader)!;
+  const away = site.listVoters().find((coreId) => coreId !== leader)!;
   site.kill(away);
   await site.clock.advance(3_000);
-  t.notOk(site.listSeats().includes(away), 'a spare has its seat');
+  t.notOk(site.listVoters().includes(away), 'a spare has its seat');
   site.restart(away);
   await site.clock.advance(1_500);
-  t.equal(site.listSeats().length, 3);
-  site.kill(site.listSeats().find((coreId) => coreId !== site.findLeader())!);
+  t.equal(site.listVoters().length, 3);
+  site.kill(site.listVoters().find((coreId) => coreId !== site.findLeader())!);
   await site.clock.advance(3_000);
-  t.ok(site.listSeats().includes(away), 'it takes the seat of the next that is gone');
+  t.ok(site.listVoters().includes(away), 'it takes the seat of the next that is gone');
   t.ok(await isServing(site));
   site.stop();
 });
@@ -101,7 +101,7 @@
   // stood still.
   const site = await startSite(FOUR.slice(0, 3));
   const leader = site.findLeader()!;
-  const [one, two] = site.listSeats().filter((coreId) => coreId !== leader) as [string, string];
+  const [one, two] = site.listVoters().filter((coreId) => coreId !== leader) as [string, string];
   site.kill(one);
   await site.clock.advance(3_000);
   const silent = site.lines.find(({ fields }) => fields.event === 'seats-silent')!;
@@ -120,11 +120,14 @@
   // It greets and answers, but holds nothing new: with one loss more no majority would be left.
   const site = await startSite(FOUR);
   const leader = site.findLeader()!;
-  const [stuck, other] = site.listSeats().filter((coreId) => coreId !== leader) as [string, string];
-  site.stickDisk(stuck);
+  const [stuck, other] = site.listVoters().filter((coreId) => coreId !== leader) as [
+    string,
+    string,
+  ];
+  site.hangDisk(stuck);
   await site.declare();
   await site.clock.advance(4_000);
-  t.notOk(site.listSeats().includes(stuck));
+  t.notOk(site.listVoters().includes(stuck));
   site.kill(other);
   t.ok(await isServing(site), 'and the next loss is borne');
   site.stop();
@@ -135,16 +138,16 @@
   for (const which of [0, 1]) {
     const site = await startSite([...FOUR, 'e'], 11);
     const leader = site.findLeader()!;
-    const seated = site.listSeats();
+    const seated = site.listVoters();
     const spares = site.listUp().filter((coreId) => !seated.includes(coreId));
     t.equal(spares.length, 2);
     const stuck = spares[which]!;
-    site.stickDisk(stuck);
+    site.hangDisk(stuck);
     const [gone, other] = seated.filter((coreId) => coreId !== leader) as [string, string];
     site.kill(gone);
     await site.clock.advance(6_000);
     const fit = spares.find((coreId) => coreId !== stuck)!;
-    t.ok(site.listSeats().includes(fit), `${fit} has it while ${stuck} cannot`);
+    t.ok(site.listVoters().includes(fit), `${fit} has it while ${stuck} cannot`);
     site.kill(other);
     t.ok(await isServing(site), 'and the next loss is borne');
     site.stop();
@@ -161,7 +164,7 @@
       const gone = site.findLeader()!;
       const lostAt = site.clock.now();
       site.kill(gone);
-      while (site.findLeader() === undefined || site.listSeats().includes(gone)) {
+      while (site.findLeader() === undefined || site.listVoters().includes(gone)) {
         await site.clock.advance(10);
       }
       const emptyMs = site.clock.now() - lostAt;
--- a/packages/gateway/tests/pool-desk.test.ts
+++ b/packages/gateway/tests/placement-service.test.ts
@@ -1,11 +1,11 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as tap from 'tap';
 
-import * as poolDesks from '../src/pool-desk.js';
-import * as listedUpstreams from './support/listed-upstream.js';
+import * as poolDesks from '../src/placement-service.js';
+import * as listedUpstreams from './support/create-listed-upstream.js';
 import * as sites from './support/small-site.js';
 
-const ENGINE = listedUpstreams.createListed('e-1');
+const ENGINE = listedUpstreams.createListedUpstream('e-1');
 
 function createReq(fixedEngineId?: string) {
   return {
@@ -34,14 +34,14 @@
     evacuated: [] as string[],
     revision: 0,
   };
-  const desk = new poolDesks.PoolDesk({
+  const desk = new poolDesks.PlacementService({
     clock,
     findService: (name) => state.services.find((service) => service.name === name),
     findUpstreams: () => state.list,
     isEvacuated: (zone) => state.evacuated.includes(zone),
     getEvacuationRevision: () => state.revision,
     coldBounds: { coldOverage: 1.5, coldSlack: 5 },
-    retryPot: { most: 1, mostAtFirst: 1, windowMs: 1_000 },
+    retryLimiter: { maxGrants: 1, maxGrantsForNewLeader: 1, windowMs: 1_000 },
   });
   return { desk, state };
 }
@@ -107,7 +107,7 @@
     state.revision = 1;
     t.match(await desk.place(createReq()), { placed: { engineId: 'e-2' } });
     const run = { callId: 'c1', engineId: 'e-1', excluded: [], service: 'engines' };
-    const offered = desk.awaitHandOver({ ...run, patienceMs: 500 });
+    const offered = desk.awaitMigration({ ...run, patienceMs: 500 });
     await clock.advance(600);
     t.same(await offered, { takerId: undefined }, 'a run there is not handed over');
     state.evacuated = [];
@@ -131,10 +131,10 @@
 void tap.default.test('a host that leads again forgets what ran when it led before', async (t) => {
   const { desk, state } = createDesk(new schemas.VirtualClock());
   state.list = [ENGINE];
-  desk.lead(1);
+  desk.startLeading(1);
   t.match(await desk.place(createReq('e-1')), { placed: { engineId: 'e-1' } });
-  desk.lead(1);
+  desk.startLeading(1);
   t.ok(desk.hasRuns('engines', 'e-1'), 'not within one leadership');
-  desk.lead(3);
+  desk.startLeading(3);
   t.notOk(desk.hasRuns('engines', 'e-1'));
 });
--- a/packages/gateway/tests/retry-shares.test.ts
+++ b/packages/gateway/tests/retry-shares.test.ts
@@ -47,11 +47,11 @@
   );
   const source = shares.find('engines');
   for (let i = 0; i < 8; i += 1) {
-    t.ok(await source.takeLent());
+    t.ok(await source.takeGranted());
   }
   isReached = false;
-  t.ok(await source.takeLent(), 'its own share is still there, where nobody lends');
-  t.notOk(await source.takeLent(), 'as long as it lasts');
+  t.ok(await source.takeGranted(), 'its own share is still there, where nobody lends');
+  t.notOk(await source.takeGranted(), 'as long as it lasts');
   t.notOk(await source.take());
 });
 
--- a/packages/gateway/tests/routed-calls.test.ts
+++ b/packages/gateway/tests/routed-calls.test.ts
@@ -258,7 +258,7 @@
     site.engines.copies.map(({ isLast }) => isLast),
     [false, true],
   );
-  t.equal(resumedFrom, `${copy!.runner}/copy-2`);
+  t.equal(resumedFrom, `${copy!.sourceAddress}/copy-2`);
 });
 
 void tap.default.test(
@@ -278,11 +278,11 @@
     const holder = await site.addUpstream('e-2', 'engines', serve);
     const listLive = () => site.entry.directory.listLive('engines').map((item) => item.upstreamId);
     await site.until('listed', () => listLive().length === 2);
-    site.sayLeaving.add(leaving);
+    site.reportLeaving.add(leaving);
     await site.until('left by new work', () => listLive().join() === 'e-2');
     await site.until('copied', () => site.lines.some((line) => line.decision === 'copy'));
-    t.equal(site.engines.copies[0]!.holder, holder);
-    site.leaveAll();
+    t.equal(site.engines.copies[0]!.targetAddress, holder);
+    site.disconnectCallers();
     await answer;
   },
 );
@@ -306,8 +306,8 @@
   await site.until('copied', () => site.lines.some((line) => line.decision === 'copy'));
   const [early, full] = site.engines.refused;
   t.equal(full, early, 'the same holder is asked again');
-  t.not(site.engines.copies[0]!.holder, full, 'and another one when it is full');
-  site.leaveAll();
+  t.not(site.engines.copies[0]!.targetAddress, full, 'and another one when it is full');
+  site.disconnectCallers();
   await answer;
 });
 
@@ -359,7 +359,7 @@
   await site.addUpstream('e-2', 'engines', serve);
   const listLive = () => site.entry.directory.listLive('engines').length;
   await site.until('listed', () => listLive() === 2);
-  site.sayLeaving.add(runner);
+  site.reportLeaving.add(runner);
   t.equal((await answer).body, event(1) + event(2));
   t.same(resumed, [`${runner}/copy-2`, '1']);
 });
@@ -452,7 +452,7 @@
   await declareAndList(site);
   const left = site.call('/drafts/x', { tokens: '400' }, 'write').catch(() => 'left');
   await site.until('under way', () => site.lines.some((line) => line.decision === 'route'));
-  site.leaveAll();
+  site.disconnectCallers();
   t.equal(await left, 'left');
   await site.until('ended at the engine', () => isClosed);
   // The route's own time would end it too, only much later.
--- a/packages/gateway/tests/run-permits.test.ts
+++ b/packages/gateway/tests/run-permits.test.ts
@@ -5,7 +5,7 @@
 import type * as procedures from '../src/core-procedures.js';
 import * as crashGuards from '../src/crash-guard.js';
 import type * as routedJobs from '../src/routed-job.js';
-import * as suspectLinks from '../src/suspect-link.js';
+import * as suspectLinks from '../src/suspect-client.js';
 
 /** How long it takes to find out whether a process has ended, in milliseconds. */
 const CHECK_MS = 10;
@@ -17,7 +17,7 @@
   const leader = {
     permit: undefined as object | undefined,
     asked: [] as procedures.SuspectPermitReq[],
-    told: [] as procedures.SuspectRun[],
+    told: [] as procedures.SuspectOutcome[],
   };
   const api = {
     reportSuspects: {
@@ -38,9 +38,9 @@
   };
   const mesh = { get: () => api as never };
   const findLeader = () => 'core';
-  const link = new suspectLinks.SuspectLink({ mesh, findLeader, hostId: 'host', clock, log });
+  const link = new suspectLinks.SuspectClient({ mesh, findLeader, hostId: 'host', clock, log });
   const guard = new crashGuards.CrashGuard({
-    link,
+    suspects: link,
     directory: { isLeaving: () => false, noteUnreachable: () => {} } as never,
     endCheck: { hasEnded: async () => clock.sleep(CHECK_MS).then(() => true) } as never,
     clock,
@@ -56,14 +56,14 @@
 }
 
 function createRun(upstreamId: string): crashGuards.GuardedRun {
-  return { known: { upstreamId, listed: {} } as never, begunAt: undefined };
+  return { known: { upstreamId, listed: {} } as never, answerStartedAt: undefined };
 }
 
 type Site = ReturnType<typeof createGuard>;
 
 /** Runs a call at an upstream that ends under it; gives what the leader is told of the end. */
 async function loseRun({ clock, guard, leader }: Site, requestId: string, upstreamId: string) {
-  guard.note(createJob(requestId), createRun(upstreamId), 'lost');
+  guard.recordOutcome(createJob(requestId), createRun(upstreamId), 'lost');
   await clock.advance(2 * CHECK_MS);
   return leader.told.at(-1);
 }
@@ -106,7 +106,7 @@
     const asked = guard.permit(job, createRun('p2').known, () => !hasChoice);
     await clock.advance(100);
     await asked;
-    guard.note(job, createRun('p2'), 'lost');
+    guard.recordOutcome(job, createRun('p2'), 'lost');
     await clock.advance(2 * CHECK_MS);
     t.match(leader.told.at(-1), { kind: 'ended', end: { processId: 'p2', wasAlone } });
     link.stop();
@@ -117,7 +117,7 @@
 void tap.default.test('a call waits for what its last run shows, whatever its id', async (t) => {
   const { clock, guard, leader, link } = createGuard();
   leader.permit = { kind: 'go' };
-  guard.note(createJob('c1'), createRun('p1'), 'lost');
+  guard.recordOutcome(createJob('c1'), createRun('p1'), 'lost');
   const job = createJob('c2');
   const sent = guard
     .admit(job)
--- a/packages/gateway/tests/support/core-site.ts
+++ b/packages/gateway/tests/support/core-site.ts
@@ -3,10 +3,10 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as xoroshiro from 'pure-rand/generator/xoroshiro128plus';
 
-import * as coreGreeters from '../../src/core-greeter.js';
+import * as coreGreeters from '../../src/core-discovery.js';
 import * as coreGroups from '../../src/core-group.js';
 import type * as coreMeshes from '../../src/core-mesh.js';
-import * as coreTables from '../../src/core-table.js';
+import * as coreTables from '../../src/core-host-registry.js';
 
 /** How long a message is under way at most, in milliseconds. */
 const MAX_DELAY_MS = 3;
@@ -36,14 +36,14 @@
 interface Host {
   readonly coreId: string;
   readonly group: coreGroups.CoreGroup;
-  readonly greeter: coreGreeters.CoreGreeter;
+  readonly greeter: coreGreeters.CoreDiscovery;
   readonly files: fakes.MemoryFiles;
   readonly disk: SlowFiles;
   isUp: boolean;
 }
 
 /** A disk whose syncs take their time, so that changes come between them; a stuck one never ends any. */
-class SlowFiles implements consensus.FileLayer {
+class SlowFiles implements consensus.FileStorage {
   public isStuck = false;
 
   public constructor(
@@ -122,7 +122,7 @@
   }
 
   /** Has a host's disk hang from now on; the host itself goes on. */
-  public stickDisk(coreId: string): void {
+  public hangDisk(coreId: string): void {
     this.hosts.get(coreId)!.disk.isStuck = true;
   }
 
@@ -131,8 +131,8 @@
     const { greeter, group } = this.hosts.get(coreId)!;
     const startedAt = this.clock.now();
     const done: number[] = [];
-    void group.seats.leave().then(() => done.push(this.clock.now() - startedAt));
-    greeter.greetAll();
+    void group.membership.leave().then(() => done.push(this.clock.now() - startedAt));
+    greeter.announceAll();
     while (done.length === 0) {
       await this.clock.advance(1);
     }
@@ -141,7 +141,7 @@
   }
 
   /** Who votes, as the leader has it. */
-  public listSeats(): string[] {
+  public listVoters(): string[] {
     const leader = this.hosts.get(this.findLeader() ?? '');
     const voters = leader?.group.getVoter().entries.getVoters() ?? [];
     return voters.map((seat) => seat.daemonId).sort();
@@ -193,7 +193,7 @@
   }
 
   /** Reads the evacuated zones back; nothing where nobody can tell. */
-  public readZones(): Promise<readonly string[] | undefined> {
+  public readEvacuatedZones(): Promise<readonly string[] | undefined> {
     return this.ask(async (group) => {
       await group.getLeadership().barrier();
       return group.evacuations.get().zones;
@@ -245,7 +245,7 @@
     const { clock } = this;
     const log = this.createLog(coreId);
     const disk = new SlowFiles(files, clock);
-    const table = new coreTables.CoreTable(coreId, clock);
+    const table = new coreTables.CoreHostRegistry(coreId, clock);
     const mesh = this.createPeers(coreId);
     // A stand-in is in the zone of the host that it stands in for.
     const availabilityZone = coreId.charAt(0);
@@ -253,10 +253,10 @@
       coreId,
       availabilityZone,
       founders,
-      wantedSeats: 2 * this.lossesToBear + 1,
+      voterSlotCount: 2 * this.lossesToBear + 1,
       openFiles: async () => Promise.resolve(disk),
       mesh,
-      table,
+      registry: table,
       clock,
       log,
       random: () => this.random(),
@@ -266,11 +266,11 @@
     const others = this.listUp().filter((other) => other !== coreId);
     const seeds = founders.length > 0 ? founders : others.slice(0, SEEDS);
     const listSeeds = () => seeds;
-    const greeter = new coreGreeters.CoreGreeter({
+    const greeter = new coreGreeters.CoreDiscovery({
       coreId,
       availabilityZone,
       group,
-      table,
+      registry: table,
       mesh,
       listSeeds,
       clock,
@@ -292,8 +292,8 @@
       snapshot: call(to, ({ group }, req: consensus.SnapshotReq) =>
         group.getVoter().handleSnapshot(req),
       ),
-      hello: call(to, ({ greeter }, req: Parameters<typeof greeter.answer>[0]) =>
-        greeter.answer(req),
+      hello: call(to, ({ greeter }, req: Parameters<typeof greeter.handleHello>[0]) =>
+        greeter.handleHello(req),
       ),
     });
     return { get: (to) => get(to) as unknown as coreMeshes.CoreApi };
--- a/packages/gateway/tests/support/fragile-upstreams.ts
+++ b/packages/gateway/tests/support/crashing-upstreams.ts
@@ -20,7 +20,7 @@
 }
 
 /** Upstreams that end under bad calls and come back as other processes at the same address. */
-export class FragileUpstreams {
+export class CrashingUpstreams {
   public readonly arrivals: Arrival[] = [];
   /** When which call ended an upstream. */
   public readonly ends: Arrival[] = [];
@@ -112,25 +112,25 @@
 }
 
 /** Three core hosts, so many entry hosts, and fragile upstreams of both services, once all hosts know them. */
-export async function createFragileSite(t: tap.Test, entryHosts: number) {
+export async function createCrashingSite(t: tap.Test, entryHosts: number) {
   const site = new sites.SmallSite(t);
   await site.start(3);
   for (let i = 1; i < entryHosts; i += 1) {
     await site.addEntry();
   }
-  const upstreams = new FragileUpstreams(site);
+  const upstreams = new CrashingUpstreams(site);
   t.teardown(() => upstreams.stop());
   for (let i = 0; i < UPSTREAMS; i += 1) {
     await upstreams.add('app');
     await upstreams.add('engines');
   }
   await site.declare({});
-  await waitServed(site);
+  await waitUntilReady(site);
   return { site, upstreams };
 }
 
 /** Waits until all entry hosts are ready and know all upstreams. */
-export async function waitServed(site: sites.SmallSite): Promise<void> {
+export async function waitUntilReady(site: sites.SmallSite): Promise<void> {
   const hosts = [site.entry, ...site.others.map(({ host }) => host)];
   await site.until('served', () =>
     hosts.every((host) => host.isReady() && host.directory.countLive() === 2 * UPSTREAMS),
--- a/packages/gateway/tests/support/listed-upstream.ts
+++ b/packages/gateway/tests/support/create-listed-upstream.ts
@@ -1,7 +1,7 @@
 import type * as schemas from '@bramleyridge/schemas';
 
 /** An engine as a list gives it, with some fields changed. */
-export function createListed(
+export function createListedUpstream(
   upstreamId: string,
   change: Partial<schemas.ListedUpstream> = {},
 ): schemas.ListedUpstream {
--- a/packages/gateway/tests/support/crash-fleet.ts
+++ b/packages/gateway/tests/support/fleet-simulation.ts
@@ -5,13 +5,13 @@
 
 import * as crashGuards from '../../src/crash-guard.js';
 import type * as routedJobs from '../../src/routed-job.js';
-import * as relayClients from '../../src/relay-client.js';
-import * as suspectDesks from '../../src/suspect-desk.js';
-import * as suspectLinks from '../../src/suspect-link.js';
+import * as relayClients from '../../src/suspect-relay-client.js';
+import * as suspectDesks from '../../src/suspect-registry.js';
+import * as suspectLinks from '../../src/suspect-client.js';
 import * as suspectRelays from '../../src/suspect-relay.js';
 
 /** Within which time hosts that reach each other know what one of them found out, in milliseconds. */
-export const REACH_MS = 3_000;
+export const PROPAGATION_MS = 3_000;
 
 /** The step of the model, in milliseconds. */
 const STEP_MS = 10;
@@ -32,7 +32,7 @@
 const MOST_SENDS = 2;
 
 /** What the drawn schedules have in them. */
-export interface FleetPlan {
+export interface FleetSimulationOptions {
   readonly hosts: number;
   readonly engines: number;
   /** Bad calls, each of which comes again and again. */
@@ -65,7 +65,7 @@
 interface Host {
   readonly hostId: string;
   guard: crashGuards.CrashGuard;
-  link: suspectLinks.SuspectLink;
+  link: suspectLinks.SuspectClient;
   /** The term of the leader that it heard last; 0 before the first. */
   heardTerm: number;
   cutUntil: number;
@@ -74,13 +74,13 @@
 }
 
 interface Leader {
-  readonly desk: suspectDesks.SuspectDesk;
+  readonly desk: suspectDesks.SuspectRegistry;
   readonly term: number;
   readonly since: number;
 }
 
 /** What was seen of a call, all its arrivals taken together. */
-export class SeenCall {
+export class CallRecord {
   public readonly endedAt: number[] = [];
   public readonly sentAt: number[] = [];
   /** The same by hosts that count as in touch and by those that don't. */
@@ -101,15 +101,15 @@
   }
 
   private countLateOf(sentAt: readonly number[]): number {
-    const since = (this.endedAt[2] ?? Infinity) + REACH_MS;
+    const since = (this.endedAt[2] ?? Infinity) + PROPAGATION_MS;
     return sentAt.filter((at) => at > since).length;
   }
 }
 
 /** Entry hosts, a leader and engines on virtual time: who sends which call where, and what hosts tell each other of it. */
-export class CrashFleet {
+export class FleetSimulation {
   public readonly clock = new schemas.VirtualClock();
-  public readonly calls = new Map<string, SeenCall>();
+  public readonly calls = new Map<string, CallRecord>();
   private readonly rng: ReturnType<typeof xoroshiro.xoroshiro128plus>;
   private readonly engines: Engine[] = [];
   private readonly hosts: Host[] = [];
@@ -123,7 +123,7 @@
 
   public constructor(
     seed: number,
-    private readonly plan: FleetPlan,
+    private readonly plan: FleetSimulationOptions,
   ) {
     this.rng = xoroshiro.xoroshiro128plus(seed);
     for (let i = 0; i < plan.engines; i += 1) {
@@ -139,7 +139,7 @@
   }
 
   /** Plays the plan. */
-  public async play(): Promise<void> {
+  public async simulate(): Promise<void> {
     const { badCalls, badPauseMs, crashMs, durationMs, hostMs, leaderMs } = this.plan;
     for (let at = 0; at < durationMs; at += STEP_MS) {
       for (let i = 0; i < badCalls; i += 1) {
@@ -158,12 +158,12 @@
   }
 
   /** What was seen of the bad calls. */
-  public listBad(): SeenCall[] {
+  public listBad(): CallRecord[] {
     return [...this.calls].flatMap(([name, seen]) => (name.startsWith('bad') ? [seen] : []));
   }
 
   /** What was seen of all others. */
-  public listGood(): SeenCall[] {
+  public listGood(): CallRecord[] {
     return [...this.calls].flatMap(([name, seen]) => (name.startsWith('bad') ? [] : [seen]));
   }
 
@@ -174,7 +174,7 @@
       return;
     }
     this.calling += 1;
-    const seen = this.calls.get(name) ?? new SeenCall();
+    const seen = this.calls.get(name) ?? new CallRecord();
     this.calls.set(name, seen);
     seen.asked += 1;
     const tried = new Set<string>();
@@ -196,7 +196,7 @@
   private async serve(
     host: Host,
     job: routedJobs.RoutedJob,
-    seen: SeenCall,
+    seen: CallRecord,
     isBad: boolean,
     runMs: number,
   ): Promise<void> {
@@ -210,7 +210,7 @@
       const { processId } = engine;
       const known = { upstreamId: processId, listed: {}, url: '' } as never;
       if (engine.upAt > this.clock.now()) {
-        guard.note(job, { known, begunAt: undefined }, 'not-run');
+        guard.recordOutcome(job, { known, answerStartedAt: undefined }, 'not-run');
         continue;
       }
       seen.allSentAt.push(this.clock.now());
@@ -220,7 +220,7 @@
       const waitMs = 50 + this.draw(400);
       const hasEnded = await this.run(engine, waitMs, runMs, isBad, seen);
       const begunAt = runMs > 1_000 ? this.clock.now() - this.draw(runMs) : undefined;
-      guard.note(job, { known, begunAt }, hasEnded ? 'lost' : 'served');
+      guard.recordOutcome(job, { known, answerStartedAt: begunAt }, hasEnded ? 'lost' : 'served');
       if (!hasEnded) {
         seen.served += 1;
         return;
@@ -245,7 +245,7 @@
         return engine;
       }
       if (granted.kind === 'there') {
-        return this.engines.find(({ processId }) => processId === granted.at.upstreamId);
+        return this.engines.find(({ processId }) => processId === granted.upstream.upstreamId);
       }
       avoided.add(engine);
     }
@@ -257,7 +257,7 @@
     waitMs: number,
     runMs: number,
     isBad: boolean,
-    seen: SeenCall,
+    seen: CallRecord,
   ): Promise<boolean> {
     return new Promise((resolve) => {
       const settle = (hasEnded: boolean) => {
@@ -294,7 +294,7 @@
     this.leader = undefined;
     // Nobody can know what others found out while there is no leader, nor just after; the bound does not hold then.
     this.hosts.forEach((host) => {
-      host.inTouchAt = Math.max(host.inTouchAt, this.clock.now() + REACH_MS);
+      host.inTouchAt = Math.max(host.inTouchAt, this.clock.now() + PROPAGATION_MS);
     });
     this.leaderChanged.notify();
     const { leaderlessMs = 1_500 } = this.plan;
@@ -306,7 +306,7 @@
     const { clock } = this;
     const log = new schemas.SilentLog();
     const metrics = new telemetry.TextMetrics();
-    const desk = new suspectDesks.SuspectDesk({
+    const desk = new suspectDesks.SuspectRegistry({
       clock,
       log,
       metrics,
@@ -319,7 +319,7 @@
         this.quarantine.apply(entry);
       },
     });
-    desk.lead(this.term);
+    desk.startLeading(this.term);
     this.leader = { desk, term: this.term, since: clock.now() };
     this.leaderChanged.notify();
   }
@@ -328,8 +328,8 @@
     return new suspectRelays.SuspectRelay({
       coreId,
       findLeader: () =>
-        this.leader && { coreId: String(this.leader.term), heardAt: this.clock.now() + 1 },
-      duties: {} as never,
+        this.leader && { coreId: String(this.leader.term), lastContactAt: this.clock.now() + 1 },
+      leaderHandlers: {} as never,
       mesh: {
         get: () => ({ reportSuspects: { mutate: fail }, permitSuspect: { mutate: fail } }) as never,
       },
@@ -350,13 +350,13 @@
       return;
     }
     host.cutUntil = this.clock.now() + 1_000 + this.draw(5_000);
-    host.inTouchAt = host.cutUntil + REACH_MS;
+    host.inTouchAt = host.cutUntil + PROPAGATION_MS;
   }
 
   private restart(host: Host): void {
     host.link.stop();
     const fresh = this.createHost(host.hostId);
-    fresh.inTouchAt = this.clock.now() + REACH_MS;
+    fresh.inTouchAt = this.clock.now() + PROPAGATION_MS;
     this.hosts[this.hosts.indexOf(host)] = fresh;
   }
 
@@ -368,9 +368,9 @@
         return;
       }
       host.heardTerm = leader.term;
-      const news = leader.desk.findNews(host.link.getKnown(), leader.term);
+      const news = leader.desk.findUpdates(host.link.getReceivedRevision(), leader.term);
       if (news !== undefined) {
-        host.link.take(structuredClone(news));
+        host.link.applyUpdates(structuredClone(news));
       }
     });
   }
@@ -393,7 +393,7 @@
     const relayApi = (relay: suspectRelays.SuspectRelay) => ({
       relaySuspects: this.createRelayCall(host, (req) => relay.report(req as never)),
       relayPermit: this.createRelayCall(host, (req) => relay.permit(req as never)),
-      awaitRelayed: this.createRelayCall(host, (req) => relay.answer(req as never)),
+      awaitRelayed: this.createRelayCall(host, (req) => relay.awaitChanges(req as never)),
     });
     const mesh = {
       get: (coreId: string) => {
@@ -401,7 +401,7 @@
         return (relay === undefined ? api(Number(coreId)) : relayApi(relay)) as never;
       },
     };
-    const relays = new relayClients.RelayClient({
+    const relays = new relayClients.SuspectRelayClient({
       mesh,
       hostId,
       listCores: () => [...this.relays.keys()],
@@ -410,7 +410,7 @@
       clock,
       log,
     });
-    host.link = new suspectLinks.SuspectLink({
+    host.link = new suspectLinks.SuspectClient({
       mesh,
       relays,
       findLeader: () => (host.heardTerm === 0 ? undefined : String(host.heardTerm)),
@@ -419,7 +419,7 @@
       log,
     });
     host.guard = new crashGuards.CrashGuard({
-      link: host.link,
+      suspects: host.link,
       directory: {
         isLeaving: () => false,
         noteUnreachable: () => {},
@@ -437,7 +437,7 @@
   private createCall(
     host: Host,
     term: number,
-    handle: (desk: suspectDesks.SuspectDesk, req: unknown) => unknown,
+    handle: (desk: suspectDesks.SuspectRegistry, req: unknown) => unknown,
   ) {
     return {
       mutate: async (req: unknown): Promise<unknown> => {
--- a/packages/gateway/tests/support/small-site.ts
+++ b/packages/gateway/tests/support/small-site.ts
@@ -23,7 +23,7 @@
 interface CoreSlot {
   readonly settings: gateway.HostSettings;
   host: gateway.CoreHost | undefined;
-  watch: gateway.SettingsWatch;
+  watch: gateway.SettingsWatcher;
 }
 
 /** Core hosts and one entry host in this process, over real sockets on loopback addresses of their own. */
@@ -31,7 +31,7 @@
   public readonly list = new testWires.TestList();
   public readonly engines = new testWires.TestEngines();
   /** The addresses of engines that say themselves that they leave. */
-  public readonly sayLeaving = new Set<string>();
+  public readonly reportLeaving = new Set<string>();
   /** Of the entry host; core hosts keep theirs apart, as processes of their own do. */
   public readonly metrics = new telemetry.TextMetrics();
   public readonly lines: Record<string, unknown>[] = [];
@@ -76,7 +76,7 @@
   }
 
   /** Takes the power of every host away and gives it back: what was in memory is gone, disks are as they were synced. */
-  public async losePower(): Promise<void> {
+  public async powerCycle(): Promise<void> {
     this.entry.kill();
     this.others.splice(0).forEach(({ host }) => host.kill());
     const cores = [...this.cores.keys()];
@@ -105,7 +105,7 @@
       settings: slot.watch,
       codec: new testWires.TestCodec(),
       source: this.list,
-      probe: { isLeaving: async (address) => Promise.resolve(this.sayLeaving.has(address)) },
+      probe: { isLeaving: async (address) => Promise.resolve(this.reportLeaving.has(address)) },
       clock: this.clock,
       log: this.createLog(ip),
       metrics: new telemetry.TextMetrics(),
@@ -127,9 +127,9 @@
   }
 
   /** The operators' desk of the first core host that runs, or of a certain one. */
-  public getDesk(ip?: string): gateway.OperatorDesk {
+  public getOperatorService(ip?: string): gateway.OperatorService {
     const slots = ip === undefined ? [...this.cores.values()] : [this.cores.get(ip)!];
-    return slots.find(({ host }) => host !== undefined)!.host!.desk;
+    return slots.find(({ host }) => host !== undefined)!.host!.operatorService;
   }
 
   /** Orders a zone to be evacuated, or taken back, at a core host that runs or at a certain one. */
@@ -138,7 +138,7 @@
     const { signal } = new AbortController();
     await this.until('acknowledged', async () => {
       const host = slots.map((slot) => slot.host).find((item) => item !== undefined);
-      await host!.evacuations.order(zone, isEvacuated, signal);
+      await host!.evacuations.setEvacuated(zone, isEvacuated, signal);
       return true;
     });
   }
@@ -148,7 +148,7 @@
     this.version += 1;
     const text = JSON.stringify({ ...createConfig(this.version), ...change });
     await this.until('acknowledged', async () => {
-      await this.getDesk().declare(text);
+      await this.getOperatorService().declare(text);
       return true;
     });
     return this.version;
@@ -250,7 +250,7 @@
   }
 
   /** Lets every caller leave. */
-  public leaveAll(): void {
+  public disconnectCallers(): void {
     this.open.forEach((req) => req.destroy());
   }
 
@@ -301,8 +301,12 @@
     };
   }
 
-  private createWatch(settings: gateway.HostSettings): gateway.SettingsWatch {
-    return new gateway.SettingsWatch({ read: () => settings }, this.clock, new schemas.SilentLog());
+  private createWatch(settings: gateway.HostSettings): gateway.SettingsWatcher {
+    return new gateway.SettingsWatcher(
+      { read: () => settings },
+      this.clock,
+      new schemas.SilentLog(),
+    );
   }
 
   private createLog(host: string): schemas.Log {
--- a/packages/gateway/tests/support/test-wire.ts
+++ b/packages/gateway/tests/support/test-wire.ts
@@ -14,13 +14,13 @@
     const tokens = headers.tokens === undefined ? undefined : Number(headers.tokens);
     return {
       requestId: headers['call-id']?.toString() ?? '',
-      patienceMs: headers.patience === undefined ? undefined : Number(headers.patience),
+      callerTimeoutMs: headers.patience === undefined ? undefined : Number(headers.patience),
       key: headers.key?.toString(),
       generation:
         tokens === undefined
           ? undefined
           : { promptTokens: 100, maxTokens: tokens, hintTokens: tokens, prefixParts: [] },
-      passedOn: { 'call-id': headers['call-id']?.toString() ?? '' },
+      forwardedHeaders: { 'call-id': headers['call-id']?.toString() ?? '' },
     };
   }
 
@@ -28,11 +28,11 @@
     call: gateway.CallFacts,
     attempt: gateway.AttemptFacts,
   ): Record<string, string | string[]> {
-    const { copyHolder, resume, team, upstreamId, urgency } = attempt;
+    const { backupAddress: copyHolder, resume, team, upstreamId, priority: urgency } = attempt;
     return {
-      ...call.passedOn,
+      ...call.forwardedHeaders,
       'meant-for': upstreamId,
-      'left-ms': String(Math.floor(attempt.leftMs)),
+      'left-ms': String(Math.floor(attempt.remainingMs)),
       ...(team === undefined ? {} : { team }),
       ...(urgency === undefined ? {} : { urgency: String(urgency) }),
       ...(copyHolder === undefined ? {} : { 'copy-at': copyHolder }),
@@ -41,7 +41,7 @@
     };
   }
 
-  public judge(call: gateway.CallFacts): requests.JudgeHead {
+  public judge(call: gateway.CallFacts): requests.ClassifyHead {
     return ({ headers }) => {
       if (headers['not-run'] !== undefined) {
         return headers['not-run'] === 'moved' ? 'moved' : 'not-run';
@@ -55,24 +55,24 @@
   }
 }
 
-function describeCopy(copy: gateway.CopyReference): string {
-  return copy.kind === 'kept' ? copy.holder : `${copy.runner}/${copy.handle}`;
+function describeCopy(copy: gateway.KvCacheReference): string {
+  return copy.kind === 'kept' ? copy.backupAddress : `${copy.sourceAddress}/${copy.handle}`;
 }
 
 /** Orders to engines, kept for the test to look at. */
-export class TestEngines implements gateway.EngineOrders {
+export class TestEngines implements gateway.EngineControl {
   /** What the next orders are refused with, and which engines were asked for then. */
   public readonly refusals: ('no-room' | 'no-run')[] = [];
   public readonly refused: string[] = [];
   public readonly dropped: string[] = [];
-  public readonly copies: gateway.CopyOrder[] = [];
+  public readonly copies: gateway.KvCacheCopyOrder[] = [];
   /** What the engine does besides, such as to stop the run. */
-  public onCopy: (order: gateway.CopyOrder) => void = () => {};
+  public onCopy: (order: gateway.KvCacheCopyOrder) => void = () => {};
 
-  public async copy(order: gateway.CopyOrder): Promise<gateway.CopyResult> {
+  public async copyKvCache(order: gateway.KvCacheCopyOrder): Promise<gateway.KvCacheCopyResult> {
     const refusal = this.refusals.shift();
     if (refusal !== undefined) {
-      this.refused.push(order.holder);
+      this.refused.push(order.targetAddress);
       return Promise.resolve({ kind: refusal });
     }
     this.copies.push(order);
@@ -80,7 +80,7 @@
     return Promise.resolve({ kind: 'made', handle: `copy-${this.copies.length}` });
   }
 
-  public async drop(runner: string, handle: string): Promise<void> {
+  public async dropKvCache(runner: string, handle: string): Promise<void> {
     this.dropped.push(`${runner}/${handle}`);
     return Promise.resolve();
   }
@@ -99,7 +99,7 @@
   public isDown = false;
   public calls = 0;
 
-  public async list(): Promise<gateway.ReadList> {
+  public async list(): Promise<gateway.ListReadResult> {
     this.calls += 1;
     if (this.isDown) {
       throw new Error('the list is down');
--- a/packages/gateway/tests/core-link.test.ts
+++ b/packages/gateway/tests/update-poller.test.ts
@@ -2,22 +2,22 @@
 import * as xoroshiro from 'pure-rand/generator/xoroshiro128plus';
 import * as tap from 'tap';
 
-import * as coreLinks from '../src/core-link.js';
+import * as coreLinks from '../src/update-poller.js';
 import type * as coreMeshes from '../src/core-mesh.js';
 import type * as procedures from '../src/core-procedures.js';
 
 /** A link to one core host whose word the test sets; gives what the entry host was told to trust. */
-function createLink(clock: schemas.VirtualClock, news: () => procedures.NewsRes) {
+function createLink(clock: schemas.VirtualClock, news: () => procedures.UpdatesRes) {
   const trusted: boolean[] = [];
   const api = { news: { mutate: async () => Promise.resolve(news()) } };
-  const link = new coreLinks.CoreLink({
+  const link = new coreLinks.UpdatePoller({
     mesh: { get: () => api } as unknown as coreMeshes.CoreMesh,
     listSeeds: () => ['127.0.1.1:1'],
     clock,
     log: new schemas.SilentLog(),
     random: () => 0,
-    createAsk: (waitMs) => ({ hostId: 'h', version: -1, listStamp: '', waitMs }),
-    take: (_news, isTrusted) => {
+    createRequest: (waitMs) => ({ hostId: 'h', version: -1, listStamp: '', waitMs }),
+    onUpdates: (_news, isTrusted) => {
       trusted.push(isTrusted);
     },
   });
@@ -58,7 +58,7 @@
   const state = { questions: 0, informed: new Map<number, number>() };
   const api = {
     news: {
-      mutate: async (): Promise<procedures.NewsRes> => {
+      mutate: async (): Promise<procedures.UpdatesRes> => {
         state.questions += 1;
         await clock.sleep(1);
         return { isCurrent: clock.now() >= leaderlessMs, leader: undefined, cores: [] };
@@ -66,14 +66,14 @@
     },
   };
   const links = Array.from({ length: hostCount }, (_, i) => {
-    const link = new coreLinks.CoreLink({
+    const link = new coreLinks.UpdatePoller({
       mesh: { get: () => api } as unknown as coreMeshes.CoreMesh,
       listSeeds: () => ['c1:1', 'c2:1', 'c3:1'],
       clock,
       log: new schemas.SilentLog(),
       random,
-      createAsk: (waitMs) => ({ hostId: `h${i}`, version: -1, listStamp: '', waitMs }),
-      take: (news) => {
+      createRequest: (waitMs) => ({ hostId: `h${i}`, version: -1, listStamp: '', waitMs }),
+      onUpdates: (news) => {
         if (news.isCurrent && !state.informed.has(i)) {
           state.informed.set(i, clock.now());
           link.stop();
--- a/packages/gateway/tests/list-history.test.ts
+++ b/packages/gateway/tests/upstream-list-history.test.ts
@@ -3,9 +3,9 @@
 import * as tap from 'tap';
 
 import * as procedures from '../src/core-procedures.js';
-import * as listHistories from '../src/list-history.js';
+import * as listHistories from '../src/upstream-list-history.js';
 import * as upstreamDirectories from '../src/upstream-directory.js';
-import * as listedUpstreams from './support/listed-upstream.js';
+import * as listedUpstreams from './support/create-listed-upstream.js';
 
 function createList(upstreams: schemas.ListedUpstream[]): procedures.UpstreamList {
   return { stamp: schemas.getContentHash(upstreams), upstreams };
@@ -25,17 +25,17 @@
 /** Takes what the leader tells a host: the changes, doubled, or the whole list where it is too far behind. */
 function follow(
   directory: upstreamDirectories.UpstreamDirectory,
-  history: listHistories.ListHistory,
+  history: listHistories.UpstreamListHistory,
   list: procedures.UpstreamList,
 ): void {
   const packed = history.getPackedChanges(directory.getStamp());
   if (packed === undefined) {
-    directory.take(list, 0);
+    directory.applyList(list, 0);
     return;
   }
   const changes = unpack(packed);
-  directory.takeChanges(changes, 0);
-  directory.takeChanges(changes, 0);
+  directory.applyChanges(changes, 0);
+  directory.applyChanges(changes, 0);
 }
 
 // Guards against a host whose list differs from the leader's because a change was lost, doubled or told out of turn.
@@ -43,19 +43,21 @@
   for (let seed = 1; seed <= 50; seed += 1) {
     const rng = xoroshiro.xoroshiro128plus(seed);
     const draw = (below: number) => (rng.next() >>> 0) % below;
-    const history = new listHistories.ListHistory();
+    const history = new listHistories.UpstreamListHistory();
     const directory = createDirectory();
-    let upstreams = Array.from({ length: 20 }, (_, i) => listedUpstreams.createListed(`e${i}`));
+    let upstreams = Array.from({ length: 20 }, (_, i) =>
+      listedUpstreams.createListedUpstream(`e${i}`),
+    );
     let list = createList(upstreams);
     history.add(list);
-    directory.take(list, 0);
+    directory.applyList(list, 0);
     for (let step = 0; step < 40; step += 1) {
       const at = draw(upstreams.length);
       upstreams = upstreams.filter((_, i) => i !== at || draw(3) > 0);
       upstreams = upstreams.map((item, i) =>
         i === draw(20) ? { ...item, isLeaving: true } : item,
       );
-      upstreams = [...upstreams, listedUpstreams.createListed(`n${step}`)];
+      upstreams = [...upstreams, listedUpstreams.createListedUpstream(`n${step}`)];
       list = createList(upstreams);
       history.add(list);
       // A host misses some lists, and is now and then further behind than what is kept.
@@ -63,7 +65,7 @@
         follow(directory, history, list);
       }
     }
-    directory.takeChanges({ from: 'other', stamp: 'wrong', changed: [], gone: ['n1'] }, 0);
+    directory.applyChanges({ from: 'other', stamp: 'wrong', changed: [], gone: ['n1'] }, 0);
     follow(directory, history, list);
     const known = upstreams.map(({ upstreamId }) => directory.find(upstreamId)?.listed);
     t.equal(directory.getStamp(), list.stamp, `seed ${seed}`);
@@ -74,8 +76,10 @@
 
 // Guards against a list of 3,000 upstreams to each of hundreds of hosts for the news of one of them.
 void tap.default.test('one change among thousands is told by itself', async (t) => {
-  const upstreams = Array.from({ length: 3_000 }, (_, i) => listedUpstreams.createListed(`e${i}`));
-  const history = new listHistories.ListHistory();
+  const upstreams = Array.from({ length: 3_000 }, (_, i) =>
+    listedUpstreams.createListedUpstream(`e${i}`),
+  );
+  const history = new listHistories.UpstreamListHistory();
   const before = createList(upstreams);
   const after = createList(upstreams.map((item, i) => (i === 7 ? { ...item, coldMs: 9 } : item)));
   [before, after].forEach((list) => history.add(list));
--- a/packages/gateway/tests/list-desk.test.ts
+++ b/packages/gateway/tests/upstream-list-service.test.ts
@@ -2,15 +2,15 @@
 import * as tap from 'tap';
 
 import * as procedures from '../src/core-procedures.js';
-import * as listDesks from '../src/list-desk.js';
-import * as listReaders from '../src/list-reader.js';
-import * as listedUpstreams from './support/listed-upstream.js';
+import * as listDesks from '../src/upstream-list-service.js';
+import * as listReaders from '../src/upstream-list-reader.js';
+import * as listedUpstreams from './support/create-listed-upstream.js';
 import * as sites from './support/small-site.js';
 
 const ENGINES = ['e1', 'e2', 'e3', 'e4', 'e5', 'e6', 'e7'] as const;
 
 function createEngine(engineId: string): schemas.ListedUpstream {
-  return listedUpstreams.createListed(engineId, { address: `${engineId}:1`, slots: 24 });
+  return listedUpstreams.createListedUpstream(engineId, { address: `${engineId}:1`, slots: 24 });
 }
 
 /** A desk over seven engines, which all say that they leave once the test says so; answers come 0 to 6 ms late. */
@@ -24,7 +24,7 @@
     canMove: true,
     canBackUp: true,
   };
-  const desk = new listDesks.ListDesk({
+  const desk = new listDesks.UpstreamListService({
     source: {
       list: async () =>
         Promise.resolve({
@@ -42,7 +42,7 @@
     clock,
     log: new schemas.SilentLog(),
     getSettings: () => ({ listAddress: '127.0.0.1:1', listCallsPerS: 40 }) as never,
-    findDueSince: () => state.dueSince,
+    findActiveSince: () => state.dueSince,
     hasRuns: () => true,
     findService: (name) => ({ ...sites.createConfig(1).services[0]!, name, engine }),
   });
@@ -68,7 +68,7 @@
   stamps.delete(before?.stamp ?? '');
   t.equal(stamps.size, 1, 'one list tells of all seven');
   t.ok(desk.getList()?.upstreams.every(({ saysLeaving }) => saysLeaving === true));
-  t.equal(desk.getPacked(), desk.getPacked(), 'the same bytes for every host');
+  t.equal(desk.getPackedList(), desk.getPackedList(), 'the same bytes for every host');
   desk.stop();
 });
 
--- a/packages/gateway/tests/upstream-picker.test.ts
+++ b/packages/gateway/tests/upstream-picker.test.ts
@@ -6,7 +6,7 @@
 import type * as procedures from '../src/core-procedures.js';
 import * as upstreamDirectories from '../src/upstream-directory.js';
 import * as upstreamPickers from '../src/upstream-picker.js';
-import * as listedUpstreams from './support/listed-upstream.js';
+import * as listedUpstreams from './support/create-listed-upstream.js';
 import * as sites from './support/small-site.js';
 
 /** A leader that places every generation on one engine, or does not answer, and what it is told. */
@@ -19,7 +19,7 @@
 
   public async place(
     _service: string,
-    need: routing.PlaceNeed,
+    need: routing.PlacementSpec,
   ): Promise<procedures.PlaceRes | undefined> {
     this.fixed.push(need.fixedEngineId);
     if (this.engineId === undefined) {
@@ -29,15 +29,15 @@
     return Promise.resolve({ placed, waitedMs: 0 });
   }
 
-  public async awaitHandOver() {
+  public async awaitMigration() {
     return Promise.resolve({ takerId: this.engineId });
   }
 
-  public enter(_service: string, need: routing.PlaceNeed): void {
+  public registerRun(_service: string, need: routing.PlacementSpec): void {
     this.entered.push(need.callId);
   }
 
-  public leave(): void {}
+  public unregisterRun(): void {}
 
   public noteRun(callId: string, event: string): void {
     this.noted.push(`${callId} ${event}`);
@@ -46,8 +46,8 @@
 
 function createDirectory(clock: schemas.Clock, engineIds: readonly string[]) {
   const directory = new upstreamDirectories.UpstreamDirectory(clock, new schemas.SilentLog());
-  directory.take(
-    { stamp: 's1', upstreams: engineIds.map((id) => listedUpstreams.createListed(id)) },
+  directory.applyList(
+    { stamp: 's1', upstreams: engineIds.map((id) => listedUpstreams.createListedUpstream(id)) },
     0,
   );
   return directory;
@@ -61,9 +61,9 @@
 ) {
   return new upstreamPickers.UpstreamPicker({
     directory,
-    pools,
+    placer: pools,
     availabilityZone: 'a',
-    coldShare: new routing.ColdShare('host', () => 16),
+    coldShare: new routing.ColdSendQuota('host', () => 16),
     clock,
     log: new schemas.SilentLog(),
     random: () => 0,
@@ -75,10 +75,10 @@
   return {
     facts: {
       requestId: 'c1',
-      patienceMs: 4_000,
+      callerTimeoutMs: 4_000,
       key: 'k1',
       generation: { promptTokens: 100, maxTokens: 400, hintTokens: 400, prefixParts: [] },
-      passedOn: {},
+      forwardedHeaders: {},
     },
     route: config.routes[2]!,
     service: config.services[1]!,
@@ -146,18 +146,18 @@
 void tap.default.test('a cold upstream gets no more than this host’s share', async (t) => {
   const clock = new schemas.VirtualClock();
   const directory = new upstreamDirectories.UpstreamDirectory(clock, new schemas.SilentLog());
-  const cold = listedUpstreams.createListed('app-1', { service: 'app', coldMs: 2_000 });
-  directory.take({ stamp: 's1', upstreams: [cold] }, 0);
+  const cold = listedUpstreams.createListedUpstream('app-1', { service: 'app', coldMs: 2_000 });
+  directory.applyList({ stamp: 's1', upstreams: [cold] }, 0);
   const picker = createPicker(clock, new FixedPlacer(undefined), directory);
   const call = createPlainCall(40);
   t.equal((await picker.pick(call, new Set())).upstreamId, 'app-1', 'one call of 40 x 0.4 / 16');
   await t.rejects(picker.pick(call, new Set()), { id: 'noUpstream' } as never);
-  directory.take(
+  directory.applyList(
     { stamp: 's2', upstreams: [cold, { ...cold, upstreamId: 'app-2', coldMs: 0 }] },
     0,
   );
   t.equal((await picker.pick(call, new Set())).upstreamId, 'app-2', 'a warm one takes the rest');
-  directory.take({ stamp: 's3', upstreams: [cold] }, 0);
+  directory.applyList({ stamp: 's3', upstreams: [cold] }, 0);
   await clock.advance(2_100);
   for (let i = 0; i < 5; i += 1) {
     t.equal((await picker.pick(call, new Set())).upstreamId, 'app-1', 'as many as come when warm');
@@ -173,11 +173,11 @@
   // the memory copied there. Unless it says so, the run counts as copied and is lost with its engine.
   const clock = new schemas.VirtualClock();
   const unknown = new FixedPlacer('e-9');
-  const res = await createPicker(clock, unknown).awaitTaker(createCall(), 'e-0', []);
-  t.same(res, { wasAsked: false, taker: undefined });
+  const res = await createPicker(clock, unknown).awaitMigrationTarget(createCall(), 'e-0', []);
+  t.same(res, { isAnswered: false, target: undefined });
   t.same(unknown.noted, ['c1 turn-over']);
   const known = new FixedPlacer('e-1');
-  const other = await createPicker(clock, known).awaitTaker(createCall(), 'e-0', []);
-  t.equal(other.taker?.upstreamId, 'e-1');
+  const other = await createPicker(clock, known).awaitMigrationTarget(createCall(), 'e-0', []);
+  t.equal(other.target?.upstreamId, 'e-1');
   t.same(known.noted, []);
 });
--- a/packages/intents/src/control-state.ts
+++ b/packages/intents/src/control-state.ts
@@ -1,10 +1,10 @@
 import * as schemas from '@bramleyridge/schemas';
 
-import * as diffs from './diff.js';
-import * as planLife from './plan-life.js';
+import * as diffs from './diff-declarations.js';
+import * as planLife from './plan-lifecycle.js';
 
 /** How long a plan can be confirmed, in milliseconds. */
-export const PLAN_LIFE_MS = 24 * 3_600_000;
+export const PLAN_LIFETIME_MS = 24 * 3_600_000;
 
 /** How many plans are kept, decided ones included. */
 const MAX_PLANS = 200;
@@ -27,7 +27,7 @@
 
 /** The aggregate of intents: plans and the configuration in force. Every voter applies the same commands. */
 export class ControlState {
-  private configuration: schemas.Configuration = createEmpty();
+  private configuration: schemas.Configuration = createEmptyConfiguration();
   private plans = new Map<string, StoredPlan>();
   private answers = new Map<string, schemas.CommandResult>();
   private deltas: schemas.Delta[] = [];
@@ -192,19 +192,19 @@
 
   private expirePlans(now: number): void {
     this.plans.forEach((plan) => {
-      if (plan.status === 'planned' && now - plan.createdAt > PLAN_LIFE_MS) {
+      if (plan.status === 'planned' && now - plan.createdAt > PLAN_LIFETIME_MS) {
         this.movePlan(plan, 'expire');
       }
     });
   }
 
   private movePlan(plan: StoredPlan, event: planLife.PlanEvent): void {
-    plan.status = planLife.createPlanLife(plan.status).move(event);
+    plan.status = planLife.createPlanLifecycle(plan.status).move(event);
   }
 }
 
 /** The configuration before any confirmation. */
-export function createEmpty(): schemas.Configuration {
+export function createEmptyConfiguration(): schemas.Configuration {
   return {
     revision: 0,
     declaration: { teams: [], intents: [], services: [] },
--- a/packages/intents/src/evacuation-state.ts
+++ b/packages/intents/src/evacuation-state.ts
@@ -13,7 +13,7 @@
 });
 
 /** Which zones are evacuated, and how many orders have changed that. */
-export const evacuationFacts = z.object({
+export const evacuatedZones = z.object({
   revision: z.int().min(0),
   zones: z.array(z.string()).readonly(),
 });
@@ -21,7 +21,7 @@
 /** An order on one availability zone in the replicated log. */
 export type EvacuationEntry = z.infer<typeof evacuationEntry>;
 /** Which zones are evacuated. */
-export type EvacuationFacts = z.infer<typeof evacuationFacts>;
+export type EvacuatedZones = z.infer<typeof evacuatedZones>;
 
 /** What became of an order; a stale one was given on a revision that is no longer in force. */
 export type EvacuationResult = 'changed' | 'unchanged' | 'stale';
@@ -57,7 +57,7 @@
   }
 
   /** What is in force. */
-  public get(): EvacuationFacts {
+  public get(): EvacuatedZones {
     return { revision: this.revision, zones: [...this.zones] };
   }
 
@@ -67,7 +67,7 @@
   }
 
   /** Takes facts that are newer, from a snapshot or from another host; gives whether they were. */
-  public restore(facts: EvacuationFacts): boolean {
+  public restore(facts: EvacuatedZones): boolean {
     if (facts.revision <= this.revision) {
       return false;
     }
--- a/packages/intents/src/index.ts
+++ b/packages/intents/src/index.ts
@@ -1,8 +1,8 @@
 /** Intents, plans and confirmations: their rules, without input or output. */
-export * from './check.js';
+export * from './check-declaration.js';
 export * from './control-state.js';
-export * from './diff.js';
-export * from './plan-life.js';
+export * from './diff-declarations.js';
+export * from './plan-lifecycle.js';
 export * from './check-routed-config.js';
 export * from './declared-state.js';
 export * from './evacuation-state.js';
--- a/packages/intents/src/plan-life.ts
+++ b/packages/intents/src/plan-lifecycle.ts
@@ -11,7 +11,7 @@
 };
 
 /** The life of a plan, from a stored status on. */
-export function createPlanLife(
+export function createPlanLifecycle(
   status: schemas.PlanStatus,
 ): schemas.Lifecycle<schemas.PlanStatus, PlanEvent> {
   return new schemas.Lifecycle(MOVES, status);
--- a/packages/intents/tests/control-state.test.ts
+++ b/packages/intents/tests/control-state.test.ts
@@ -84,7 +84,7 @@
 void tap.default.test('plans expire, unknown ones are refused', async (t) => {
   const operators = new Operators();
   const plan = operators.plan('amina', [createTeam('x', ['a'])]);
-  const late = operators.confirm('amina', plan, intents.PLAN_LIFE_MS + 1);
+  const late = operators.confirm('amina', plan, intents.PLAN_LIFETIME_MS + 1);
   t.match(late, { kind: 'refused', id: 'planExpired' });
   t.match(operators.confirm('amina', 'plan-99'), { kind: 'refused', id: 'noPlan' });
 });
--- a/packages/members/src/configuration-store.ts
+++ b/packages/members/src/configuration-store.ts
@@ -7,7 +7,7 @@
 /** The configuration that this daemon has in force; it only ever moves to a higher revision. */
 export class ConfigurationStore {
   public readonly changed = new schemas.ChangeSignal();
-  private configuration = intents.createEmpty();
+  private configuration = intents.createEmptyConfiguration();
   private deltas: schemas.Delta[] = [];
   private vouchedAt = -Infinity;
   private isLearned = false;
@@ -61,7 +61,7 @@
   }
 
   /** What a daemon at `revision` lacks: steps where they are known, else the whole. */
-  public getNews(revision: number): Pick<schemas.SyncRes, 'deltas' | 'configuration'> {
+  public getUpdates(revision: number): Pick<schemas.SyncRes, 'deltas' | 'configuration'> {
     if (revision >= this.configuration.revision) {
       return {};
     }
@@ -70,7 +70,7 @@
   }
 
   /** Notes that a leader held this revision for the newest `ageMs` ago. */
-  public vouch(ageMs: number): void {
+  public recordLeaderConfirmation(ageMs: number): void {
     this.vouchedAt = Math.max(this.vouchedAt, this.clock.now() - ageMs);
   }
 
--- a/packages/members/src/index.ts
+++ b/packages/members/src/index.ts
@@ -1,6 +1,6 @@
 /** Heartbeats, live and leaving hosts, pool ownership, the configuration in force. */
 export * from './configuration-store.js';
-export * from './member-life.js';
+export * from './member-lifecycle.js';
 export * from './member-table.js';
 export * from './pool-ownership.js';
 export * from './sync-client.js';
--- a/packages/members/src/member-life.ts
+++ b/packages/members/src/member-lifecycle.ts
@@ -12,6 +12,6 @@
 };
 
 /** The life of one incarnation of a member. */
-export function createMemberLife(): schemas.Lifecycle<schemas.MemberState, MemberEvent> {
+export function createMemberLifecycle(): schemas.Lifecycle<schemas.MemberState, MemberEvent> {
   return new schemas.Lifecycle(MOVES, 'live');
 }
--- a/packages/members/src/member-table.ts
+++ b/packages/members/src/member-table.ts
@@ -1,6 +1,6 @@
 import type * as schemas from '@bramleyridge/schemas';
 
-import * as memberLife from './member-life.js';
+import * as memberLife from './member-lifecycle.js';
 
 /** After how many suspect times a silent member is dropped. */
 const DROP_FACTOR = 3;
@@ -21,13 +21,13 @@
   ) {}
 
   /** Takes a heartbeat; one of an older incarnation is a late message and changes nothing. */
-  public hear(beat: schemas.Beat): void {
+  public receive(beat: schemas.Beat): void {
     const known = this.rows.get(beat.daemonId);
     if (known !== undefined && beat.incarnation < known.beat.incarnation) {
       return;
     }
     const isNew = known === undefined || beat.incarnation > known.beat.incarnation;
-    const row = isNew ? { beat, heardAt: 0, life: memberLife.createMemberLife() } : known;
+    const row = isNew ? { beat, heardAt: 0, life: memberLife.createMemberLifecycle() } : known;
     row.beat = beat;
     row.heardAt = this.clock.now();
     row.life.move(beat.isLeaving ? 'leave' : 'hear');
@@ -53,7 +53,7 @@
     members
       .filter((member) => member.state !== 'gone')
       .filter((member) => !this.rows.has(member.daemonId))
-      .forEach((member) => this.hear(member));
+      .forEach((member) => this.receive(member));
   }
 
   /** Everyone, with states as of now; those silent for long are dropped. */
--- a/packages/members/src/sync-client.ts
+++ b/packages/members/src/sync-client.ts
@@ -58,7 +58,7 @@
   public async run(): Promise<void> {
     await this.learnHighest();
     while (!this.isStopped) {
-      await this.beat();
+      await this.sendHeartbeat();
     }
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** One heartbeat to the relay, or as the relay to the voters. */
-  public async beat(): Promise<void> {
+  public async sendHeartbeat(): Promise<void> {
     const { clock, heartbeatMs, log, view } = this.options;
     const target = this.chooseTarget();
     if (target === undefined) {
@@ -123,7 +123,7 @@
 
   private async exchange(target: PeerAddress, waitMs: number): Promise<schemas.SyncRes> {
     const { deadlineMs, self, store, sync, view } = this.options;
-    const beats = view.listBeats();
+    const beats = view.listHeartbeats();
     if (target.daemonId !== this.lastTarget || this.needsAll.delete(target.daemonId)) {
       this.lastBeats = new Map();
       this.lastTarget = target.daemonId;
@@ -160,10 +160,10 @@
       store.offerDeltas(res.deltas);
     }
     if (res.revision === store.get().revision) {
-      store.vouch(res.ageMs);
+      store.recordLeaderConfirmation(res.ageMs);
     }
     if (res.directory !== undefined && !view.isRelay()) {
-      view.receive(res.directory);
+      view.receiveDirectory(res.directory);
     }
     if (res.entries !== undefined) {
       view.entries = res.entries;
--- a/packages/members/src/sync-server.ts
+++ b/packages/members/src/sync-server.ts
@@ -30,11 +30,11 @@
     }
     const isOwnZone = req.availabilityZone === view.getDirectory().availabilityZone;
     if (isOwnZone) {
-      view.hear(req.beats, req.from);
+      view.receiveHeartbeats(req.beats, req.from);
     }
     const status = this.options.findZoneStatus();
-    const isTold = status === undefined || status.take(req);
-    const isKnown = isTold && (!isOwnZone || view.isHeard(req.from, req.incarnation));
+    const isTold = status === undefined || status.receiveHeartbeat(req);
+    const isKnown = isTold && (!isOwnZone || view.hasHeartbeat(req.from, req.incarnation));
     const end = clock.now() + req.waitMs;
     while (!this.hasNews(req, isOwnZone) && isKnown && clock.now() < end) {
       await this.waitForNews(end - clock.now());
@@ -66,7 +66,7 @@
     const entries = getEntries();
     return {
       revision: store.get().revision,
-      ...store.getNews(req.revision),
+      ...store.getUpdates(req.revision),
       directory: isOwnZone && directory.stamp !== req.directoryStamp ? directory : undefined,
       entries:
         this.isEntriesSource(isOwnZone) && entries.stamp !== req.entriesStamp ? entries : undefined,
--- a/packages/members/src/zone-status.ts
+++ b/packages/members/src/zone-status.ts
@@ -25,7 +25,7 @@
   public constructor(private readonly clock: schemas.Clock) {}
 
   /** Takes a relay's heartbeat; false when the relay must send all its beats again. */
-  public take(req: schemas.SyncReq): boolean {
+  public receiveHeartbeat(req: schemas.SyncReq): boolean {
     const zone = req.availabilityZone;
     const known = this.zones.get(zone);
     const isSame = known?.relay === req.from && known.incarnation === req.incarnation;
@@ -45,7 +45,7 @@
   }
 
   /** Takes the beats of the leader's own zone, where the leader is the relay itself. */
-  public takeOwn(relay: schemas.Beat, beats: readonly schemas.Beat[]): void {
+  public setOwnZone(relay: schemas.Beat, beats: readonly schemas.Beat[]): void {
     this.zones.set(relay.availabilityZone, {
       relay: relay.daemonId,
       incarnation: relay.incarnation,
--- a/packages/members/src/zone-view.ts
+++ b/packages/members/src/zone-view.ts
@@ -42,19 +42,19 @@
   }
 
   /** Takes the heartbeats that a daemon brings. */
-  public hear(beats: readonly schemas.Beat[], from: string): void {
-    beats.forEach((beat) => this.table.hear(beat));
+  public receiveHeartbeats(beats: readonly schemas.Beat[], from: string): void {
+    beats.forEach((beat) => this.table.receive(beat));
     this.table.refresh([from]);
     this.refresh();
   }
 
   /** Whether a daemon's heartbeat is known here, so that it need not be sent again. */
-  public isHeard(daemonId: string, incarnation: number): boolean {
+  public hasHeartbeat(daemonId: string, incarnation: number): boolean {
     return this.table.find(daemonId)?.incarnation === incarnation;
   }
 
   /** Takes the list of the zone's relay. */
-  public receive(directory: schemas.Directory): void {
+  public receiveDirectory(directory: schemas.Directory): void {
     this.received = directory;
     this.changed.notify();
   }
@@ -71,7 +71,7 @@
    * callers must not be sent to it yet. A directory of a relay that has not read the list itself does not count: with
    * it all daemons of a zone that started together said that they were ready and refused for 0.4 s.
    */
-  public isInformed(): boolean {
+  public hasUpstreamList(): boolean {
     return this.relaying ? this.hasList : this.received.hasList;
   }
 
@@ -81,7 +81,7 @@
   }
 
   /** The beats that this daemon hears itself, its own first. */
-  public listBeats(): schemas.Beat[] {
+  public listHeartbeats(): schemas.Beat[] {
     const own = this.self();
     const others = this.table
       .list()
@@ -101,7 +101,7 @@
     if (!this.relaying) {
       return;
     }
-    this.table.hear(this.self());
+    this.table.receive(this.self());
     const members = this.table.list().map((member) => ({ ...member, revision: 0 }));
     const { hasList } = this;
     const upstreams = [...this.upstreams];
--- a/packages/members/tests/members.test.ts
+++ b/packages/members/tests/members.test.ts
@@ -78,7 +78,7 @@
   public confirm(): number {
     const { store } = this.hosts.get('v1')!;
     const from = store.get().revision;
-    store.vouch(0);
+    store.recordLeaderConfirmation(0);
     store.offerDeltas([{ from, to: from + 1, changes: [], claimSeats: [], claimFounders: [] }]);
     return from + 1;
   }
@@ -102,7 +102,7 @@
       throw new Error('deadline');
     }
     if (to === 'v1') {
-      this.hosts.get('v1')!.store.vouch(0);
+      this.hosts.get('v1')!.store.recordLeaderConfirmation(0);
     }
     return structuredClone(await this.hosts.get(to)!.server.handle(structuredClone(req)));
   }
@@ -163,13 +163,13 @@
   const clock = new schemas.VirtualClock();
   const table = new members.MemberTable(clock, 3_000);
   const { beat } = new Zone(['d1']).hosts.get('d1')!;
-  table.hear({ ...beat, incarnation: 2 });
-  table.hear({ ...beat, incarnation: 1, isLeaving: true });
+  table.receive({ ...beat, incarnation: 2 });
+  table.receive({ ...beat, incarnation: 1, isLeaving: true });
   t.match(table.list(), [{ incarnation: 2, state: 'live' }]);
   await clock.advance(3_500);
   t.match(table.list(), [{ state: 'suspect' }]);
-  table.hear({ ...beat, incarnation: 2, isLeaving: true });
-  table.hear({ ...beat, incarnation: 2 });
+  table.receive({ ...beat, incarnation: 2, isLeaving: true });
+  table.receive({ ...beat, incarnation: 2 });
   t.match(table.list(), [{ state: 'leaving' }], 'a late beat does not call a leaving daemon back');
 });
 
@@ -232,21 +232,21 @@
     await zone.clock.advance(10_000);
     const relay = zone.list().find((host) => host.view.isRelay())!;
     relay.view.setUpstreams([]);
-    t.ok(relay.view.isInformed(), 'the relay has read the list');
-    const beat = relay.view.listBeats()[0]!;
+    t.ok(relay.view.hasUpstreamList(), 'the relay has read the list');
+    const beat = relay.view.listHeartbeats()[0]!;
     const view = new members.ZoneView(
       () => ({ ...beat, daemonId: 'new' }),
       zone.clock,
       HEARTBEAT_MS,
     );
-    t.notOk(view.isInformed(), 'nothing was told yet');
+    t.notOk(view.hasUpstreamList(), 'nothing was told yet');
     view.setRelay(true);
-    t.notOk(view.isInformed(), 'nor read, where it must be the relay itself');
+    t.notOk(view.hasUpstreamList(), 'nor read, where it must be the relay itself');
     view.setRelay(false);
-    view.receive(relay.view.getDirectory());
-    t.ok(view.isInformed(), 'the relay has told');
+    view.receiveDirectory(relay.view.getDirectory());
+    t.ok(view.hasUpstreamList(), 'the relay has told');
     view.setRelay(true);
-    t.ok(view.isInformed(), 'and what it told is known when it takes over');
+    t.ok(view.hasUpstreamList(), 'and what it told is known when it takes over');
   },
 );
 
@@ -259,14 +259,14 @@
     await zone.clock.advance(10_000);
     const relay = zone.list().find((host) => host.view.isRelay())!;
     const member = zone.list().find((host) => !host.view.isRelay())!;
-    t.notOk(relay.view.isInformed(), 'the relay has read nothing');
+    t.notOk(relay.view.hasUpstreamList(), 'the relay has read nothing');
     t.ok(member.view.getDirectory().members.length > 1, 'its directory has come');
-    t.notOk(member.view.isInformed(), 'which says nothing of upstreams');
+    t.notOk(member.view.hasUpstreamList(), 'which says nothing of upstreams');
     member.view.setRelay(true);
-    t.notOk(member.view.isInformed(), 'also when the other takes over as the relay');
+    t.notOk(member.view.hasUpstreamList(), 'also when the other takes over as the relay');
     member.view.setRelay(false);
     relay.view.setUpstreams([]);
     await zone.clock.advance(2_000);
-    t.ok(member.view.isInformed(), 'until the relay has read the list');
+    t.ok(member.view.hasUpstreamList(), 'until the relay has read the list');
   },
 );
--- a/packages/placement/src/desired-state.ts
+++ b/packages/placement/src/desired-state.ts
@@ -1,31 +1,31 @@
 import * as schemas from '@bramleyridge/schemas';
 
 /** A version of a model on an upstream. */
-export interface Slot {
+export interface ModelReplica {
   readonly upstreamId: string;
   readonly model: string;
   readonly version: string;
 }
 
 /** What an engine was last seen to hold. */
-export interface Observed {
+export interface ObservedUpstream {
   readonly upstream: schemas.Upstream;
   readonly isLeaving: boolean;
   readonly models: readonly { readonly model: string; readonly version: string }[];
 }
 
 /** A step towards what is desired. */
-export interface Step {
+export interface ReconcileStep {
   readonly action: schemas.Order['action'];
-  readonly slot: Slot;
+  readonly slot: ModelReplica;
   readonly reason: string;
 }
 
 /** Where each intent's model version should be; upstreams that hold it already come first. */
-export function getDesiredSlots(
+export function getDesiredReplicas(
   declaration: schemas.Declaration,
-  observed: readonly Observed[],
-): Slot[] {
+  observed: readonly ObservedUpstream[],
+): ModelReplica[] {
   const usable = observed.filter((item) => item.upstream.kind === 'engine' && !item.isLeaving);
   const slots = declaration.intents.flatMap((intent) =>
     intent.availabilityZones.flatMap((zone) => {
@@ -37,7 +37,7 @@
       }));
     }),
   );
-  const byKey = new Map(slots.map((slot) => [getSlotKey(slot), slot]));
+  const byKey = new Map(slots.map((slot) => [getReplicaKey(slot), slot]));
   return [...byKey.values()];
 }
 
@@ -46,17 +46,20 @@
  * comes back to hundreds of changes never sends the orders that led there. A version that is not wanted
  * stays until the wanted one of the same model is seen in the zone, so that there is always one to serve.
  */
-export function planSteps(desired: readonly Slot[], observed: readonly Observed[]): Step[] {
-  const wanted = new Set(desired.map(getSlotKey));
+export function planReconcileSteps(
+  desired: readonly ModelReplica[],
+  observed: readonly ObservedUpstream[],
+): ReconcileStep[] {
+  const wanted = new Set(desired.map(getReplicaKey));
   const seen = observed.flatMap((item) =>
     item.models.map((held) => ({ upstreamId: item.upstream.upstreamId, ...held })),
   );
-  const held = new Set(seen.map(getSlotKey));
+  const held = new Set(seen.map(getReplicaKey));
   const zones = new Map(
     observed.map((item) => [item.upstream.upstreamId, item.upstream.availabilityZone]),
   );
   const loads = desired
-    .filter((slot) => !held.has(getSlotKey(slot)))
+    .filter((slot) => !held.has(getReplicaKey(slot)))
     .map((slot) => ({ action: 'load' as const, slot, reason: 'wanted and not seen' }));
   // An upstream that leaves ends by itself; an order would only disturb what it still runs.
   const leaving = new Set(
@@ -64,18 +67,18 @@
   );
   const unloads = seen
     .filter((slot) => !leaving.has(slot.upstreamId))
-    .filter((slot) => !wanted.has(getSlotKey(slot)))
+    .filter((slot) => !wanted.has(getReplicaKey(slot)))
     .filter((slot) => isReplaced(slot, desired, held, zones))
     .map((slot) => ({ action: 'unload' as const, slot, reason: 'not wanted and replaced' }));
   return [...loads, ...unloads];
 }
 
 /** One slot as a text. */
-export function getSlotKey(slot: Slot): string {
+export function getReplicaKey(slot: ModelReplica): string {
   return `${slot.upstreamId}/${slot.model}:${slot.version}`;
 }
 
-function chooseUpstreams(intent: schemas.Intent, inZone: readonly Observed[]): string[] {
+function chooseUpstreams(intent: schemas.Intent, inZone: readonly ObservedUpstream[]): string[] {
   const ranked = schemas.rankByKey(
     `placement/${intent.model}`,
     inZone.map((item) => item.upstream.upstreamId),
@@ -91,8 +94,8 @@
 }
 
 function isReplaced(
-  slot: Slot,
-  desired: readonly Slot[],
+  slot: ModelReplica,
+  desired: readonly ModelReplica[],
   held: ReadonlySet<string>,
   zones: ReadonlyMap<string, string>,
 ): boolean {
@@ -100,5 +103,5 @@
   const successors = desired.filter(
     (other) => other.model === slot.model && zones.get(other.upstreamId) === zone,
   );
-  return successors.every((other) => held.has(getSlotKey(other)));
+  return successors.every((other) => held.has(getReplicaKey(other)));
 }
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,4 +1,4 @@
 /** Desired and observed state of upstreams, orders with fencing tokens, the weight store's budget. */
 export * from './desired-state.js';
 export * from './order-sender.js';
-export * from './weight-budget.js';
+export * from './model-load-limiter.js';
--- a/packages/placement/src/weight-budget.ts
+++ b/packages/placement/src/model-load-limiter.ts
@@ -1,7 +1,7 @@
 import type * as schemas from '@bramleyridge/schemas';
 
 /** The rate limit of the weight store: loads that may begin, per second and saved up. */
-export class WeightBudget {
+export class ModelLoadLimiter {
   private tokens = 0;
   private at: number;
 
--- a/packages/placement/src/order-sender.ts
+++ b/packages/placement/src/order-sender.ts
@@ -1,7 +1,7 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import * as desiredStates from './desired-state.js';
-import * as weightBudgets from './weight-budget.js';
+import * as weightBudgets from './model-load-limiter.js';
 
 /** The longest that an order may be under way, as a share of the lease, so that a fresh lease outlasts it. */
 const ORDER_SHARE_OF_LEASE = 0.5;
@@ -42,24 +42,28 @@
 
 /** Sends the orders of one leadership. */
 export class OrderSender {
-  private readonly budget: weightBudgets.WeightBudget;
+  private readonly budget: weightBudgets.ModelLoadLimiter;
   private readonly sentAt = new Map<string, number>();
   private readonly deadlineMs: number;
 
   public constructor(private readonly options: OrderSenderOptions) {
     this.deadlineMs = getOrderDeadlineMs(options.leaseMs);
-    this.budget = new weightBudgets.WeightBudget(options.clock, LOADS_PER_SECOND, LOADS_AT_ONCE);
+    this.budget = new weightBudgets.ModelLoadLimiter(
+      options.clock,
+      LOADS_PER_SECOND,
+      LOADS_AT_ONCE,
+    );
   }
 
   /** Whether the former leader's lease and its longest order are over. */
-  public isWaitedOut(): boolean {
+  public hasPreviousLeaderExpired(): boolean {
     const { authority, clock, leaseMs } = this.options;
     return clock.now() - authority.startedAt > leaseMs + this.deadlineMs;
   }
 
   /** Sends what is due; gives back the upstreams that took an order. */
   public async run(
-    steps: readonly desiredStates.Step[],
+    steps: readonly desiredStates.ReconcileStep[],
     upstreams: ReadonlyMap<string, schemas.Upstream>,
   ): Promise<string[]> {
     const taken: string[] = [];
@@ -72,9 +76,12 @@
     return taken;
   }
 
-  private async sendOne(step: desiredStates.Step, upstream: schemas.Upstream): Promise<boolean> {
+  private async sendOne(
+    step: desiredStates.ReconcileStep,
+    upstream: schemas.Upstream,
+  ): Promise<boolean> {
     const { authority, clock, log } = this.options;
-    const key = `${step.action}/${desiredStates.getSlotKey(step.slot)}`;
+    const key = `${step.action}/${desiredStates.getReplicaKey(step.slot)}`;
     const isRecent = clock.now() - (this.sentAt.get(key) ?? -Infinity) < REPEAT_MS;
     if (isRecent || !this.mayOrder(upstream)) {
       return false;
@@ -106,6 +113,6 @@
    */
   private mayOrder(upstream: schemas.Upstream): boolean {
     const isLeased = this.options.authority.isLeaseHeld(this.deadlineMs);
-    return isLeased && (upstream.checksFencing || this.isWaitedOut());
+    return isLeased && (upstream.checksFencing || this.hasPreviousLeaderExpired());
   }
 }
--- a/packages/placement/tests/placement.test.ts
+++ b/packages/placement/tests/placement.test.ts
@@ -19,7 +19,7 @@
   upstreamId: string,
   versions: readonly string[],
   isLeaving = false,
-): placement.Observed {
+): placement.ObservedUpstream {
   return {
     upstream: createUpstream(upstreamId, true),
     isLeaving,
@@ -43,10 +43,13 @@
   ]);
 }
 
-function listSteps(declaration: schemas.Declaration, observed: readonly placement.Observed[]) {
-  const desired = placement.getDesiredSlots(declaration, observed);
+function listSteps(
+  declaration: schemas.Declaration,
+  observed: readonly placement.ObservedUpstream[],
+) {
+  const desired = placement.getDesiredReplicas(declaration, observed);
   return placement
-    .planSteps(desired, observed)
+    .planReconcileSteps(desired, observed)
     .map(({ action, slot }) => `${action} ${slot.version} on ${slot.upstreamId}`);
 }
 
@@ -138,7 +141,7 @@
   const keepOrdering = async (sender: placement.OrderSender, from: number) => {
     await clock.sleep(from);
     for (let i = 0; i < 40; i += 1) {
-      const steps = both.map(({ upstreamId }): placement.Step => ({
+      const steps = both.map(({ upstreamId }): placement.ReconcileStep => ({
         action: 'unload',
         slot: { upstreamId, model: 'm', version: `v${i}` },
         reason: 'test',
@@ -163,7 +166,7 @@
   'loads begin no faster than the weight store allows, also after a change of leaders',
   async (t) => {
     const clock = new schemas.VirtualClock();
-    const budget = new placement.WeightBudget(clock, 4, 8);
+    const budget = new placement.ModelLoadLimiter(clock, 4, 8);
     t.notOk(budget.take(), 'a new leader begins with nothing saved up');
     let taken = 0;
     for (let i = 0; i < 100; i += 1) {
--- a/packages/requests/src/answer-body.ts
+++ b/packages/requests/src/answer-body.ts
@@ -5,7 +5,7 @@
 const LINE_END = 0x0a;
 
 /** What is read of an answer: bytes up to a limit, and whether there is more. */
-export interface ReadAnswer {
+export interface AnswerBody {
   readonly bytes: Buffer;
   readonly isWhole: boolean;
 }
@@ -18,7 +18,7 @@
   answer: upstreamClients.UpstreamAnswer,
   mostBytes: number,
   peer: string,
-): Promise<ReadAnswer> {
+): Promise<AnswerBody> {
   const parts: Buffer[] = [];
   let size = 0;
   try {
--- a/packages/requests/src/claim-seat.ts
+++ b/packages/requests/src/claim-acceptor.ts
@@ -3,7 +3,7 @@
 import * as types from './claim-types.js';
 
 /** How long a claim is remembered, in milliseconds; operators tell callers this. */
-export const CLAIM_LIFE_MS = 3_600_000;
+export const CLAIM_RETENTION_MS = 3_600_000;
 
 /** How many claims are given in one page of a recovery. */
 const PAGE = 2_000;
@@ -18,7 +18,7 @@
 }
 
 /** What a seat needs to know of its daemon. */
-export interface ClaimSeatOptions {
+export interface ClaimAcceptorOptions {
   readonly daemonId: string;
   readonly incarnation: number;
   readonly clock: schemas.Clock;
@@ -33,15 +33,15 @@
  * majority with this seat could have agreed, and they note from then on that the former holder is gone.
  * A majority that still counted the former holder is recognised by these notes and is not counted.
  */
-export class ClaimSeat {
+export class ClaimAcceptor {
   private seats: readonly schemas.ClaimSeat[] = [];
-  private marks: types.SeatMark[] = [];
+  private marks: types.AcceptorEpoch[] = [];
   private seat = -1;
   private complete = false;
   private records = new Map<string, StoredRecord>();
   private order = 0;
 
-  public constructor(private readonly options: ClaimSeatOptions) {}
+  public constructor(private readonly options: ClaimAcceptorOptions) {}
 
   /** Takes the seats in force; begins to recover when this daemon got one. */
   public configure(seats: readonly schemas.ClaimSeat[], founders: readonly string[]): void {
@@ -51,7 +51,7 @@
     this.seats = seats;
     this.seat = seat;
     this.marks = seats.map(
-      (item, i) => types.mergeMarks([this.marks[i] ?? [0, 0]], [[item.since, 0]])[0]!,
+      (item, i) => types.mergeEpochs([this.marks[i] ?? [0, 0]], [[item.since, 0]])[0]!,
     );
     if (seat < 0) {
       this.complete = false;
@@ -100,7 +100,7 @@
 
   /** Gives a page of what is remembered, and notes that a seat has a new holder. */
   public handleRecover(req: types.RecoverReq): types.RecoverRes {
-    const noted = types.mergeMarks([this.marks[req.seat] ?? [0, 0]], [req.mark]);
+    const noted = types.mergeEpochs([this.marks[req.seat] ?? [0, 0]], [req.mark]);
     this.marks[req.seat] = noted[0]!;
     const rest = [...this.records.values()].filter((record) => record.order > req.cursor);
     const page = rest.slice(0, PAGE);
@@ -119,7 +119,7 @@
 
   /** Forgets claims whose time is over. */
   public expire(): void {
-    const oldest = this.options.clock.now() - CLAIM_LIFE_MS;
+    const oldest = this.options.clock.now() - CLAIM_RETENTION_MS;
     for (const [key, record] of this.records) {
       if (record.at < oldest) {
         this.records.delete(key);
--- a/packages/requests/src/claim-proposer.ts
+++ b/packages/requests/src/claim-proposer.ts
@@ -14,7 +14,7 @@
   readonly transport: types.ClaimTransport;
   readonly clock: schemas.Clock;
   readonly random: () => number;
-  readonly getSeats: () => readonly schemas.ClaimSeat[];
+  readonly getAcceptors: () => readonly schemas.ClaimSeat[];
 }
 
 /** Answers of seats that may be counted together. */
@@ -67,7 +67,7 @@
   }
 
   private async ask(req: Omit<types.ClaimReq, 'since'>): Promise<Round> {
-    const { getSeats, transport } = this.options;
+    const { getAcceptors: getSeats, transport } = this.options;
     const seats = getSeats();
     const since = seats.map((seat) => seat.since);
     const answers: types.ClaimRes[] = [];
@@ -116,8 +116,8 @@
  * known to the others by its successor; counted with them it would make a majority that nobody remembers.
  */
 function countAgreed(answers: readonly types.ClaimRes[]): number {
-  const latest = answers.reduce<types.SeatMark[]>(
-    (all, res) => types.mergeMarks(all, res.marks),
+  const latest = answers.reduce<types.AcceptorEpoch[]>(
+    (all, res) => types.mergeEpochs(all, res.marks),
     [],
   );
   const agreed = answers.filter(
--- a/packages/requests/src/claim-types.ts
+++ b/packages/requests/src/claim-types.ts
@@ -7,10 +7,10 @@
 export type Ballot = z.infer<typeof ballot>;
 
 /** Who holds a seat: since which revision, and which incarnation of the process. */
-export const seatMark = z.tuple([z.int(), z.number()]);
+export const acceptorEpoch = z.tuple([z.int(), z.number()]);
 
 /** Who holds a seat. */
-export type SeatMark = z.infer<typeof seatMark>;
+export type AcceptorEpoch = z.infer<typeof acceptorEpoch>;
 
 /** What a claim says: who runs the call, and where. It carries no prompt and no answer. */
 export const claimValue = z.object({
@@ -53,7 +53,7 @@
   ok: z.boolean(),
   seat: z.int(),
   /** The highest holder that this seat knows of, for each seat. */
-  marks: z.array(seatMark),
+  marks: z.array(acceptorEpoch),
   promised: ballot,
   accepted: z.object({ ballot, value: claimValue }).optional(),
 });
@@ -62,7 +62,7 @@
 export type ClaimRes = z.infer<typeof claimRes>;
 
 /** Asks a seat for a page of what it remembers. */
-export const recoverReq = z.object({ seat: z.int(), mark: seatMark, cursor: z.int() });
+export const recoverReq = z.object({ seat: z.int(), mark: acceptorEpoch, cursor: z.int() });
 
 /** Asks a seat for a page of what it remembers. */
 export type RecoverReq = z.infer<typeof recoverReq>;
@@ -71,7 +71,7 @@
 export const recoverRes = z.object({
   seat: z.int(),
   isComplete: z.boolean(),
-  marks: z.array(seatMark),
+  marks: z.array(acceptorEpoch),
   records: z.array(claimRecord),
   cursor: z.int(),
   isLast: z.boolean(),
@@ -92,12 +92,15 @@
 }
 
 /** Whether one holder of a seat came after another. */
-export function isLater(a: SeatMark, b: SeatMark): boolean {
+export function isLater(a: AcceptorEpoch, b: AcceptorEpoch): boolean {
   return a[0] !== b[0] ? a[0] > b[0] : a[1] > b[1];
 }
 
 /** The later holder of each seat. */
-export function mergeMarks(a: readonly SeatMark[], b: readonly SeatMark[]): SeatMark[] {
+export function mergeEpochs(
+  a: readonly AcceptorEpoch[],
+  b: readonly AcceptorEpoch[],
+): AcceptorEpoch[] {
   const length = Math.max(a.length, b.length);
   return Array.from({ length }, (_, i) => {
     const x = a[i] ?? [0, 0];
--- a/packages/requests/src/hop-headers.ts
+++ b/packages/requests/src/end-to-end-headers.ts
@@ -14,7 +14,9 @@
 ]);
 
 /** The headers that are passed on: all but those of one connection, and those that it names itself. */
-export function pickEndToEnd(headers: http.IncomingHttpHeaders): Record<string, string | string[]> {
+export function pickEndToEndHeaders(
+  headers: http.IncomingHttpHeaders,
+): Record<string, string | string[]> {
   const named = new Set(
     String(headers.connection ?? '')
       .toLowerCase()
--- a/packages/requests/src/event-splitter.ts
+++ b/packages/requests/src/generation-event-splitter.ts
@@ -23,7 +23,7 @@
  * Cuts the byte stream of an upstream into events and lets each offset pass once and in order. It works on
  * bytes: a chunk may end inside a line or inside a character, and decoding there would damage the text.
  */
-export class EventSplitter {
+export class GenerationEventSplitter {
   private pending: Buffer = Buffer.alloc(0);
   private readonly prefix: Buffer;
 
@@ -35,7 +35,7 @@
   }
 
   /** The offset that is expected next. */
-  public getNext(): number {
+  public getNextOffset(): number {
     return this.next;
   }
 
--- a/packages/requests/src/generation-id.ts
+++ b/packages/requests/src/generation-id-codec.ts
@@ -16,11 +16,11 @@
  * Identifiers that tell where a generation runs, so that any daemon can continue it without asking the one
  * that began it. The code at the end binds them to the team: guessing one gives no answer of another's.
  */
-export class GenerationIds {
+export class GenerationIdCodec {
   public constructor(private readonly getKeys: () => readonly Buffer[]) {}
 
   /** Makes an identifier. */
-  public create(id: GenerationId, team: string): string {
+  public encode(id: GenerationId, team: string): string {
     const text = [id.availabilityZone, id.daemonId, id.incarnation, id.counter, id.upstreamId].join(
       '.',
     );
@@ -28,7 +28,7 @@
   }
 
   /** Reads an identifier of a team; nothing when it is not one of this team's. */
-  public find(generation: string, team: string): GenerationId | undefined {
+  public decode(generation: string, team: string): GenerationId | undefined {
     const parts = generation.split('.');
     const mac = parts.at(-1);
     if (parts.length !== 6 || mac === undefined) {
--- a/packages/requests/src/end-check.ts
+++ b/packages/requests/src/process-exit-detector.ts
@@ -25,7 +25,7 @@
  * Tells whether the process of an upstream has ended. A connection that closes shows nothing by itself: answers are also
  * lost to resets, cuts and bad answers of a process that lives on. Where it has ended, nobody listens at its address.
  */
-export class EndCheck {
+export class ProcessExitDetector {
   private readonly checks = new Map<string, Check>();
 
   public constructor(
@@ -34,7 +34,7 @@
   ) {}
 
   /** Asks once for all calls that broke off there at one time. */
-  public hasEnded({ upstreamId, url }: upstreamClients.UpstreamTarget): Promise<boolean> {
+  public hasExited({ upstreamId, url }: upstreamClients.UpstreamTarget): Promise<boolean> {
     const now = this.clock.now();
     this.forgetBefore(now - REMEMBER_MS);
     const known = this.checks.get(upstreamId);
--- a/packages/requests/src/relay.ts
+++ b/packages/requests/src/relay-generation.ts
@@ -4,7 +4,7 @@
 
 import * as chunkReaders from './chunk-reader.js';
 import type * as engineClients from './engine-client.js';
-import * as splitters from './event-splitter.js';
+import * as splitters from './generation-event-splitter.js';
 import * as upstreamErrors from './upstream-error.js';
 
 /** How often a lost connection is made anew before the engine is given up. */
@@ -43,11 +43,11 @@
   options: RelayOptions,
   started: stream.Readable | undefined,
 ): AsyncGenerator<Buffer, RelayEnd> {
-  const splitter = new splitters.EventSplitter(options.generation, options.from);
+  const splitter = new splitters.GenerationEventSplitter(options.generation, options.from);
   let body = started;
   let failures = 0;
   for (;;) {
-    const before = splitter.getNext();
+    const before = splitter.getNextOffset();
     try {
       body ??= await resume(options, splitter);
       const end = yield* passOn(options, splitter, body);
@@ -58,35 +58,35 @@
       const failure = upstreamErrors.createUpstreamError(err, 'relay', options.upstream.upstreamId);
       const isOver = failure.kind === 'gone' || failures >= MAX_RESUMES_IN_A_ROW;
       if (isOver) {
-        return { outcome: 'incomplete', next: splitter.getNext(), err: failure };
+        return { outcome: 'incomplete', next: splitter.getNextOffset(), err: failure };
       }
       options.log.warn({
         decision: 'resume',
         request: options.generation,
         upstream: options.upstream.upstreamId,
-        offset: splitter.getNext(),
+        offset: splitter.getNextOffset(),
         reason: failure.message,
       });
     }
     body?.destroy();
     body = undefined;
-    failures = splitter.getNext() > before ? 1 : failures + 1;
+    failures = splitter.getNextOffset() > before ? 1 : failures + 1;
     await options.clock.sleep(FIRST_PAUSE_MS * 2 ** (failures - 1));
   }
 }
 
 function resume(
   options: RelayOptions,
-  splitter: splitters.EventSplitter,
+  splitter: splitters.GenerationEventSplitter,
 ): Promise<stream.Readable> {
   splitter.restart();
   const { engines, generation, upstream } = options;
-  return engines.resume(upstream, generation, splitter.getNext());
+  return engines.resume(upstream, generation, splitter.getNextOffset());
 }
 
 async function* passOn(
   options: RelayOptions,
-  splitter: splitters.EventSplitter,
+  splitter: splitters.GenerationEventSplitter,
   body: stream.Readable,
 ): AsyncGenerator<Buffer, RelayEnd | undefined> {
   // The connection may be forgotten by something in between while new ones work. Engines send a comment
@@ -108,16 +108,16 @@
       watchdog.refresh();
       const events = splitter.push(chunk);
       if (events.count > 0) {
-        options.onProgress(splitter.getNext());
+        options.onProgress(splitter.getNextOffset());
       }
       for (const bytes of events.bytes) {
         yield bytes;
       }
       if (events.isDone) {
-        return { outcome: 'complete', next: splitter.getNext() };
+        return { outcome: 'complete', next: splitter.getNextOffset() };
       }
       if (events.hasError) {
-        return { outcome: 'incomplete', next: splitter.getNext() };
+        return { outcome: 'incomplete', next: splitter.getNextOffset() };
       }
       if (events.hasGap) {
         return undefined;
--- a/packages/requests/src/request-life.ts
+++ b/packages/requests/src/request-lifecycle.ts
@@ -29,6 +29,6 @@
 };
 
 /** The life of one request. */
-export function createRequestLife(): schemas.Lifecycle<RequestState, RequestEvent> {
+export function createRequestLifecycle(): schemas.Lifecycle<RequestState, RequestEvent> {
   return new schemas.Lifecycle(MOVES, 'received');
 }
--- a/packages/requests/src/reset-watch.ts
+++ b/packages/requests/src/reset-monitor.ts
@@ -1,7 +1,7 @@
 import * as undici from 'undici';
 
 /** Counts, for each upstream's address, the connections to it that ended with an error. */
-export class ResetWatch {
+export class ResetMonitor {
   private readonly counts = new Map<string, number>();
 
   /** A connector whose connections are watched from their first byte on. */
--- a/packages/requests/src/retry-budget.ts
+++ b/packages/requests/src/retry-budget.ts
@@ -22,9 +22,9 @@
 }
 
 /** A source that also lends retries, to whoever can plan them. */
-export interface LendingRetrySource extends RetrySource {
+export interface GrantingRetrySource extends RetrySource {
   /** Takes one retry, from what is lent first. */
-  takeLent(): Promise<boolean>;
+  takeGranted(): Promise<boolean>;
 }
 
 /** A bucket that every request fills a little and every retry empties by one. */
--- a/packages/requests/src/retry-pot.ts
+++ b/packages/requests/src/retry-grant-limiter.ts
@@ -1,13 +1,13 @@
 /** How many retries the hosts may borrow, over a sliding window. */
-export interface RetryPotBounds {
-  readonly most: number;
+export interface RetryGrantLimits {
+  readonly maxGrants: number;
   /** The same while what a former lender lent may still be in the window. */
-  readonly mostAtFirst: number;
+  readonly maxGrantsForNewLeader: number;
   readonly windowMs: number;
 }
 
 /** Who lends: the term in which a host leads, and since when. */
-export interface RetryLender {
+export interface RetryGrantor {
   readonly term: number;
   readonly since: number;
 }
@@ -17,18 +17,18 @@
  * whose callers were on an engine that is lost; an equal share for each of eight hosts allowed them four in ten seconds
  * while the deployment's 70 were hardly touched. One lender knows how many are out, so the sum stays exact.
  */
-export class RetryPot {
+export class RetryGrantLimiter {
   private lentAt: number[] = [];
   private term: number | undefined;
 
-  public constructor(private readonly bounds: RetryPotBounds) {}
+  public constructor(private readonly bounds: RetryGrantLimits) {}
 
   /**
    * Lends one retry, or refuses. A leader that has just risen does not know what the one before it lent, so it lends
    * little until that is out of the window.
    */
-  public lend(lender: RetryLender, now: number): boolean {
-    const { most, mostAtFirst, windowMs } = this.bounds;
+  public grant(lender: RetryGrantor, now: number): boolean {
+    const { maxGrants: most, maxGrantsForNewLeader: mostAtFirst, windowMs } = this.bounds;
     if (lender.term !== this.term) {
       this.term = lender.term;
       this.lentAt = [];
--- a/packages/requests/src/attempts.ts
+++ b/packages/requests/src/run-attempts.ts
@@ -21,7 +21,7 @@
 }
 
 /** How one kind of call is tried. */
-export interface AttemptPort<U extends { readonly upstreamId: string }, A> {
+export interface AttemptOperations<U extends { readonly upstreamId: string }, A> {
   /** The upstream of the next attempt, or a refusal when there is none. */
   choose(): U | Promise<U>;
   /** One attempt; nothing when it found out, before it sent anything, that it has to choose anew. */
@@ -39,7 +39,7 @@
 
   public constructor(
     private readonly rules: AttemptRules,
-    private readonly port: AttemptPort<U, A>,
+    private readonly port: AttemptOperations<U, A>,
   ) {}
 
   /** Tries until there is an answer, or nothing more may be tried. */
@@ -117,7 +117,7 @@
  */
 export function runAttempts<U extends { readonly upstreamId: string }, A>(
   rules: AttemptRules,
-  port: AttemptPort<U, A>,
+  port: AttemptOperations<U, A>,
 ): Promise<A> {
   return new CallAttempts(rules, port).run();
 }
--- a/packages/requests/src/service-client.ts
+++ b/packages/requests/src/service-client.ts
@@ -3,7 +3,7 @@
 import * as answerBodies from './answer-body.js';
 import type * as callRegistries from './call-registry.js';
 import * as engineClients from './engine-client.js';
-import * as hopHeaders from './hop-headers.js';
+import * as hopHeaders from './end-to-end-headers.js';
 import * as upstreamClients from './upstream-client.js';
 import * as upstreamErrors from './upstream-error.js';
 
@@ -48,7 +48,7 @@
     }
     return {
       status: answer.status,
-      headers: toStrings(hopHeaders.pickEndToEnd(answer.headers)),
+      headers: toStrings(hopHeaders.pickEndToEndHeaders(answer.headers)),
       body: read.bytes,
     };
   }
@@ -65,7 +65,7 @@
 
 /** A service learns neither the team's secret nor the name by which callers found this daemon. */
 function pickForService(headers: Readonly<Record<string, string>>): Record<string, string> {
-  const { host, authorization, ...others } = toStrings(hopHeaders.pickEndToEnd(headers));
+  const { host, authorization, ...others } = toStrings(hopHeaders.pickEndToEndHeaders(headers));
   return others;
 }
 
--- a/packages/requests/src/event-cutter.ts
+++ b/packages/requests/src/sse-event-splitter.ts
@@ -7,7 +7,7 @@
  * Cuts a stream of events at their ends, so that another connection can go on where this one broke off: what the
  * caller has is always a whole number of events, and the last one's identifier says how far that is.
  */
-export class EventCutter {
+export class SseEventSplitter {
   private pending: Buffer = Buffer.alloc(0);
   private lastId: string | undefined;
 
--- a/packages/requests/src/upstream-client.ts
+++ b/packages/requests/src/upstream-client.ts
@@ -3,7 +3,7 @@
 
 import * as undici from 'undici';
 
-import * as resetWatches from './reset-watch.js';
+import * as resetWatches from './reset-monitor.js';
 import * as upstreamErrors from './upstream-error.js';
 
 /** How long an idle connection to an upstream is kept, in milliseconds; upstreams say when it is less. */
@@ -50,7 +50,7 @@
 const FAILURES = { 'not-run': 'refused', moved: 'gone', foreign: 'lost' } as const;
 
 /** Judges heads by the protocol that the upstreams of one side speak. */
-export type JudgeHead = (head: AnswerHead) => HeadVerdict;
+export type ClassifyHead = (head: AnswerHead) => HeadVerdict;
 
 /** The deadlines and limits towards upstreams. */
 export interface UpstreamClientLimits {
@@ -62,7 +62,7 @@
 /** Sends every call to upstreams: one attempt on one connection, and the judgement of its head. */
 export class UpstreamClient {
   private readonly agent: undici.Agent;
-  private readonly resets = new resetWatches.ResetWatch();
+  private readonly resets = new resetWatches.ResetMonitor();
 
   public constructor(private readonly limits: UpstreamClientLimits) {
     this.agent = new undici.Agent({
@@ -86,7 +86,7 @@
   public async open(
     target: UpstreamTarget,
     call: OutgoingCall,
-    judge: JudgeHead,
+    judge: ClassifyHead,
   ): Promise<UpstreamAnswer> {
     const own = call.isRepeatable ? undefined : this.createOwn(target);
     try {
@@ -138,7 +138,7 @@
     return { status: res.statusCode, headers: res.headers, body: res.body, wasReset };
   }
 
-  private checkHead(target: UpstreamTarget, answer: UpstreamAnswer, judge: JudgeHead): void {
+  private checkHead(target: UpstreamTarget, answer: UpstreamAnswer, judge: ClassifyHead): void {
     const verdict = judge(answer);
     if (verdict === 'answer') {
       return;
--- a/packages/requests/src/upstream-error.ts
+++ b/packages/requests/src/upstream-error.ts
@@ -39,7 +39,7 @@
   }
 
   /** Whether nobody listens at the upstream's address any more, so that it died with all it ran. */
-  public isDead(): boolean {
+  public isConnectionRefused(): boolean {
     return getCode(this.cause()) === 'ECONNREFUSED';
   }
 }
--- a/packages/requests/tests/claims.test.ts
+++ b/packages/requests/tests/claims.test.ts
@@ -123,7 +123,7 @@
     },
     clock: group.clock,
     random: () => 0.5,
-    getSeats: () => group.seats,
+    getAcceptors: () => group.seats,
   });
   // Its first proposal is number 1, which it uses up on another key.
   void late.find('other');
--- a/packages/requests/tests/event-splitter.test.ts
+++ b/packages/requests/tests/generation-event-splitter.test.ts
@@ -6,7 +6,7 @@
   return `id: g:${offset}\ndata: {"text":"Lüderitz 🎙 ${offset}"}\n\n`;
 }
 
-function passAll(splitter: requests.EventSplitter, chunks: readonly Buffer[]) {
+function passAll(splitter: requests.GenerationEventSplitter, chunks: readonly Buffer[]) {
   const passed: Buffer[] = [];
   let isDone = false;
   for (const chunk of chunks) {
@@ -37,7 +37,7 @@
         chunks.push(bytes.subarray(at, at + size));
         at += size;
       }
-      const { text, isDone } = passAll(new requests.EventSplitter('g', 0), chunks);
+      const { text, isDone } = passAll(new requests.GenerationEventSplitter('g', 0), chunks);
       return text === whole && isDone;
     },
   );
@@ -68,10 +68,10 @@
     },
   ];
   cases.forEach(({ name, sent, passed, next, from, hasGap }) => {
-    const splitter = new requests.EventSplitter('g', from ?? 0);
+    const splitter = new requests.GenerationEventSplitter('g', from ?? 0);
     t.equal(passAll(splitter, [Buffer.from(sent)]).text, passed, name);
-    t.equal(splitter.getNext(), next, `${name}: the next offset`);
-    const fresh = new requests.EventSplitter('g', from ?? 0);
+    t.equal(splitter.getNextOffset(), next, `${name}: the next offset`);
+    const fresh = new requests.GenerationEventSplitter('g', from ?? 0);
     t.equal(fresh.push(Buffer.from(sent)).hasGap, hasGap ?? false, `${name}: told as a gap`);
   });
 });
--- a/packages/requests/tests/event-cutter.test.ts
+++ b/packages/requests/tests/sse-event-splitter.test.ts
@@ -19,7 +19,7 @@
       fc.integer({ min: 1, max: 30 }),
       fc.integer({ min: 0, max: 2 }),
       (brokenAt, step, repeats) => {
-        const cutter = new requests.EventCutter();
+        const cutter = new requests.SseEventSplitter();
         const passed: Buffer[] = [];
         const feed = (text: string) => {
           for (let at = 0; at < text.length; at += step) {
--- a/packages/requests/tests/support/claim-group.ts
+++ b/packages/requests/tests/support/claim-group.ts
@@ -7,7 +7,7 @@
 interface Host {
   readonly daemonId: string;
   incarnation: number;
-  seat: requests.ClaimSeat;
+  seat: requests.ClaimAcceptor;
   readonly proposer: requests.ClaimProposer;
   isUp: boolean;
 }
@@ -72,7 +72,7 @@
   }
 
   private boot(daemonId: string, incarnation: number): void {
-    const seat = new requests.ClaimSeat({
+    const seat = new requests.ClaimAcceptor({
       daemonId,
       incarnation,
       clock: this.clock,
@@ -84,7 +84,7 @@
       transport: this.createTransport(daemonId),
       clock: this.clock,
       random: () => this.random(),
-      getSeats: () => this.seats,
+      getAcceptors: () => this.seats,
     });
     this.hosts.set(daemonId, { daemonId, incarnation, seat, proposer, isUp: true });
     seat.configure(this.seats, this.founders);
--- a/packages/requests/tests/upstream-client.test.ts
+++ b/packages/requests/tests/upstream-client.test.ts
@@ -53,7 +53,7 @@
 }
 
 /** Answers belong to a call when they bring its identifier back. */
-function judgeFor(requestId: string): requests.JudgeHead {
+function judgeFor(requestId: string): requests.ClassifyHead {
   return ({ headers }) => (headers['x-id'] === requestId ? 'answer' : 'foreign');
 }
 
--- a/packages/routing/src/holder-choice.ts
+++ b/packages/routing/src/backup-engine-selector.ts
@@ -1,10 +1,10 @@
 import type * as engineStates from './engine-state.js';
 import * as memoryGrowth from './memory-growth.js';
-import type * as placeNeeds from './place-need.js';
+import type * as placeNeeds from './placement-spec.js';
 import type * as placedRuns from './placed-run.js';
-import * as placeLimits from './place-limits.js';
-import type * as runAccounts from './run-account.js';
-import * as zoneWeights from './zone-weight.js';
+import * as placeLimits from './placement-limits.js';
+import type * as runAccounts from './run-registry.js';
+import * as zoneWeights from './cross-zone-penalty.js';
 
 /**
  * The forecast share of memory up to which copies are kept. A copy that fills the last of it would have running
@@ -31,14 +31,14 @@
 type Penalty = (engine: placeNeeds.LedgerEngine) => number;
 
 /** Chooses which engine keeps the copy of a run, or takes the run over. */
-export class HolderChoice {
+export class BackupEngineSelector {
   public constructor(
-    private readonly runs: runAccounts.RunAccount,
+    private readonly runs: runAccounts.RunRegistry,
     private readonly listEngines: () => Iterable<engineStates.EngineState>,
   ) {}
 
   /** Who keeps a copy from the start; nothing when the pool or every engine is too full for it. */
-  public findCopyHolder(
+  public findBackupEngine(
     run: placedRuns.PlacedRun,
     poolShare: number,
     now: number,
@@ -48,7 +48,7 @@
   }
 
   /** Who takes over a run whose engine leaves. */
-  public findTaker(
+  public findTargetEngine(
     run: placedRuns.PlacedRun,
     excluded: readonly string[],
     now: number,
@@ -57,8 +57,8 @@
     const takers = this.runs
       .listAt(run.engineId)
       .filter((other) => other !== run)
-      .map(({ copyAt }) => copyAt);
-    return this.findBest(run, excluded, placeLimits.PLACE_LIMIT, now, (engine) => {
+      .map(({ backupEngineId: copyAt }) => copyAt);
+    return this.findBest(run, excluded, placeLimits.PLACEMENT_LIMIT, now, (engine) => {
       const taken = takers.filter((taker) => taker === engine.engineId).length;
       const farWeight = engine.availabilityZone === run.zone ? 0 : FAR_LINK_WEIGHT;
       return taken * TAKER_WEIGHT + farWeight;
@@ -73,16 +73,17 @@
     getPenalty: Penalty,
   ): string | undefined {
     const { HORIZON_MS } = placeLimits;
-    const size = memoryGrowth.getSizeAhead(run.need, now - run.startedAt, HORIZON_MS);
+    const size = memoryGrowth.forecastTokens(run.spec, now - run.startedAt, HORIZON_MS);
     let best: string | undefined;
     let bestScore = Infinity;
-    for (const { engine, holdings } of this.listEngines()) {
+    for (const { engine, occupancy: holdings } of this.listEngines()) {
       const { engineId, memoryTokens } = engine;
-      const share = (holdings.getHeld(now, HORIZON_MS) + size) / memoryTokens;
+      const share = (holdings.getForecastTokens(now, HORIZON_MS) + size) / memoryTokens;
       const isBarred =
         engine.isClosed === true || engineId === run.engineId || excluded.includes(engineId);
       if (share <= limit && !isBarred) {
-        const score = share + zoneWeights.getFarWeight(engine, run.need) + getPenalty(engine);
+        const score =
+          share + zoneWeights.getCrossZonePenalty(engine, run.spec) + getPenalty(engine);
         best = score < bestScore ? engineId : best;
         bestScore = Math.min(score, bestScore);
       }
--- a/packages/routing/src/cold-share.ts
+++ b/packages/routing/src/cold-send-quota.ts
@@ -20,7 +20,7 @@
  * part by the number of hosts. Where that is less than one call, each upstream has only some of the hosts, told by a hash:
  * if every host sent one call, hundreds would arrive at once.
  */
-export class ColdShare {
+export class ColdSendQuota {
   private readonly sends = new Map<string, recentSends.RecentSends>();
 
   public constructor(
@@ -35,7 +35,7 @@
   }
 
   /** Whether this host may send a call to a cold upstream now. */
-  public mayTake({ callsPerS, upstreamId }: ColdUpstream, now: number): boolean {
+  public canSend({ callsPerS, upstreamId }: ColdUpstream, now: number): boolean {
     const hosts = this.countHosts();
     if (hosts === undefined) {
       return false;
@@ -50,11 +50,11 @@
   }
 
   /** Notes that this host sends a call to a cold upstream. */
-  public note(upstreamId: string, now: number): void {
+  public recordSend(upstreamId: string, now: number): void {
     const known = this.sends.get(upstreamId) ?? new recentSends.RecentSends();
     this.dropOver(now);
     this.sends.set(upstreamId, known);
-    known.note(now);
+    known.record(now);
   }
 
   /** Upstreams come and go for as long as the host runs; those without a send of late need no account. */
--- a/packages/routing/src/crash-ledger.ts
+++ b/packages/routing/src/crash-ledger.ts
@@ -41,10 +41,10 @@
   | { readonly kind: 'elsewhere' }
   /** Another run of it is under way there. At one upstream it can end no more than that, and a good one is not refused. */
   | { readonly kind: 'there'; readonly processId: string; readonly isAlone?: boolean }
-  | Refused;
+  | PermitRefusal;
 
 /** A quarantined call must not be sent now. */
-export interface Refused {
+export interface PermitRefusal {
   readonly kind: 'refused';
   /** When it may be asked again, in milliseconds. */
   readonly retryMs: number;
@@ -108,7 +108,7 @@
    * Notes that a process ended under a call; told twice it counts once. Gives whether it was news. `knowsAllRuns` tells
    * that for some time no suspect was sent without a permit of this ledger.
    */
-  public noteEnd(
+  public recordProcessEnd(
     digest: string,
     end: suspects.ProcessEnd,
     now: number,
@@ -127,7 +127,7 @@
   }
 
   /** Clears a call: it was answered in full. */
-  public noteServed(digest: string): boolean {
+  public clear(digest: string): boolean {
     const entry = this.entries.get(digest);
     if (entry === undefined) {
       return false;
@@ -142,7 +142,7 @@
   }
 
   /** Notes that a run of a suspect at a process is over and shows nothing. */
-  public noteOver(digest: string, processId: string): void {
+  public recordInconclusiveRun(digest: string, processId: string): void {
     const entry = this.entries.get(digest);
     if (entry !== undefined) {
       endTrial(entry, processId);
@@ -194,7 +194,7 @@
   }
 
   /** A permit with what is known of other suspects at its process. */
-  public describe(permit: Permit, digest: string): Permit {
+  public addIsolation(permit: Permit, digest: string): Permit {
     if (permit.kind !== 'go' && permit.kind !== 'there') {
       return permit;
     }
@@ -202,7 +202,7 @@
   }
 
   /** The refusal of a quarantined call; nothing for others, and where it may be sent once more. */
-  public findQuarantine(digest: string, now: number): Refused | undefined {
+  public findQuarantineRefusal(digest: string, now: number): PermitRefusal | undefined {
     const entry = this.entries.get(digest);
     return entry !== undefined && isQuarantined(entry) ? findRefusal(entry, now) : undefined;
   }
@@ -214,7 +214,7 @@
     mayShare: boolean,
     now: number,
   ): Permit {
-    const permit = this.permitAlone(digest);
+    const permit = this.permitUnlessQuarantined(digest);
     return permit.kind === 'refused' ? permit : this.permit(digest, processId, mayShare, now);
   }
 
@@ -222,7 +222,7 @@
    * Whether a host that hears no leader may send a call. It knows of no other host's runs, and if each host sent a
    * quarantined call once more by itself it would be sent as often as there are hosts.
    */
-  public permitAlone(digest: string): Permit {
+  public permitUnlessQuarantined(digest: string): Permit {
     const entry = this.entries.get(digest);
     return entry !== undefined && isQuarantined(entry)
       ? { kind: 'refused', retryMs: CHANCES_MS[0] }
@@ -260,7 +260,7 @@
    * What has changed of suspects since a revision; all of it where that is too long ago. Calls that are only watched are
    * many, one for each run that an upstream takes with it, and no host does anything about them.
    */
-  public listSince(revision: number): SuspectChanges {
+  public listChangesSince(revision: number): SuspectChanges {
     const oldest = this.cleared.length < MOST_CLEARED ? 0 : (this.cleared[0]?.revision ?? 0);
     const isWhole = revision < oldest || revision > this.revision;
     const since = isWhole ? -1 : revision;
@@ -323,7 +323,7 @@
     }
     const all = [...this.entries.values()].map(({ facts }) => facts);
     const [first] = all.sort((a, b) => suspects.getWeight(a) - suspects.getWeight(b));
-    this.noteServed(first!.digest);
+    this.clear(first!.digest);
   }
 
   private listTrialsAt(processId: string, now: number): Trial[] {
@@ -349,7 +349,7 @@
 }
 
 /** Why a quarantined call must not be sent now; nothing where it may be sent once more. */
-function findRefusal({ facts, heldAt }: Entry, now: number): Refused | undefined {
+function findRefusal({ facts, heldAt }: Entry, now: number): PermitRefusal | undefined {
   const waitMs = CHANCES_MS[facts.chances];
   if (waitMs === undefined) {
     return { kind: 'refused', retryMs: NEVER_RETRY_MS };
--- a/packages/routing/src/zone-weight.ts
+++ b/packages/routing/src/cross-zone-penalty.ts
@@ -1,4 +1,4 @@
-import type * as placeNeeds from './place-need.js';
+import type * as placeNeeds from './placement-spec.js';
 
 /**
  * How much an engine or a copy in another availability zone than the caller's entry host weighs, as a share of
@@ -9,6 +9,9 @@
 const FAR_WEIGHT = 0.5;
 
 /** How much fuller an engine counts for its distance from a generation's caller, as a share of memory. */
-export function getFarWeight(engine: placeNeeds.LedgerEngine, need: placeNeeds.PlaceNeed): number {
+export function getCrossZonePenalty(
+  engine: placeNeeds.LedgerEngine,
+  need: placeNeeds.PlacementSpec,
+): number {
   return engine.availabilityZone === need.availabilityZone ? 0 : FAR_WEIGHT;
 }
--- a/packages/routing/src/engine-ledger.ts
+++ b/packages/routing/src/engine-ledger.ts
@@ -1,11 +1,11 @@
 import * as engineStates from './engine-state.js';
-import * as holderChoices from './holder-choice.js';
+import * as holderChoices from './backup-engine-selector.js';
 import * as memoryGrowth from './memory-growth.js';
-import * as placeLimits from './place-limits.js';
-import * as placeNeeds from './place-need.js';
-import * as promptBacklogs from './prompt-backlog.js';
-import * as runAccounts from './run-account.js';
-import * as zoneWeights from './zone-weight.js';
+import * as placeLimits from './placement-limits.js';
+import * as placeNeeds from './placement-spec.js';
+import * as promptBacklogs from './prefill-backlog.js';
+import * as runAccounts from './run-registry.js';
+import * as zoneWeights from './cross-zone-penalty.js';
 
 /**
  * How far ahead memory is forecast for a short answer, in milliseconds. It is over by then, so the growth that drafts
@@ -38,26 +38,28 @@
 export class EngineLedger {
   private engines = new Map<string, engineStates.EngineState>();
   private hasOpen = false;
-  private readonly runs = new runAccounts.RunAccount();
-  private readonly speed = new promptBacklogs.ReadingSpeed();
-  private readonly holders = new holderChoices.HolderChoice(this.runs, () => this.engines.values());
+  private readonly runs = new runAccounts.RunRegistry();
+  private readonly speed = new promptBacklogs.PrefillRate();
+  private readonly holders = new holderChoices.BackupEngineSelector(this.runs, () =>
+    this.engines.values(),
+  );
 
   /** Sets which engines may be given work; what is known of those that stay is kept. */
   public setEngines(engines: readonly placeNeeds.LedgerEngine[]): void {
     const former = this.engines;
     engines
       .filter((engine) => isReborn(former.get(engine.engineId)?.engine, engine))
-      .forEach(({ engineId }) => this.runs.forgetWorkAt(engineId));
+      .forEach(({ engineId }) => this.runs.removeWorkAt(engineId));
     this.engines = new Map(
       engines.map((engine) => {
         const known = former.get(engine.engineId);
         const kept = isReborn(known?.engine, engine) ? undefined : known;
-        const holdings = this.runs.getHoldings(engine.engineId);
+        const holdings = this.runs.getOccupancy(engine.engineId);
         return [engine.engineId, new engineStates.EngineState(engine, holdings, this.speed, kept)];
       }),
     );
     this.hasOpen = engines.some(({ isClosed }) => isClosed !== true);
-    this.runs.keepListed((engineId) => this.isListed(engineId));
+    this.runs.removeUnlisted((engineId) => this.isListed(engineId));
   }
 
   /**
@@ -65,7 +67,7 @@
    * the prompts that queue at an engine.
    */
   public place(
-    need: placeNeeds.PlaceNeed,
+    need: placeNeeds.PlacementSpec,
     now: number,
     mayWait = false,
   ): placeNeeds.Placement | undefined {
@@ -76,45 +78,45 @@
       return undefined;
     }
     this.runs.set({
-      need,
+      spec: need,
       startedAt: now - need.ranMs,
-      endsAt: now + need.leftMs,
+      expiresAt: now + need.leftMs,
       engineId,
-      copyAt: undefined,
+      backupEngineId: undefined,
       zone: state?.engine.availabilityZone,
     });
     if (need.isUnderWay !== true) {
-      state?.noteSend(now);
+      state?.recordSend(now);
     }
     if (state !== undefined && need.fixedEngineId === undefined) {
       state.backlog.add(need.callId, need.promptTokens, now);
     }
     const copyAt = need.wantsCopy ? this.chooseCopy(need.callId, now) : undefined;
-    this.runs.setCopy(need.callId, copyAt);
+    this.runs.setBackup(need.callId, copyAt);
     return { engineId, copyAt, share: state === undefined ? 0 : this.getShare(state, now) };
   }
 
   /** Notes that the first event of a generation was seen, so that its prompt has been read. */
-  public noteBegun(callId: string, now: number): void {
+  public recordFirstEvent(callId: string, now: number): void {
     const run = this.runs.find(callId);
-    this.engines.get(run?.engineId ?? '')?.backlog.noteBegun(callId, now);
+    this.engines.get(run?.engineId ?? '')?.backlog.recordFirstEvent(callId, now);
   }
 
   /** How long engines of this pool take to read so many prompt tokens, in milliseconds. */
-  public getReadingMs(tokens: number): number {
+  public getPrefillMs(tokens: number): number {
     return this.speed.getMs(tokens);
   }
 
   /** How long a run is expected to go on, in milliseconds; nothing for one that is over. */
   public getRemainingMs(callId: string, now: number): number | undefined {
     const run = this.runs.find(callId);
-    return run && memoryGrowth.getRemainingMs(run.need, now - run.startedAt);
+    return run && memoryGrowth.getRemainingMs(run.spec, now - run.startedAt);
   }
 
   /** How much memory a run fills now, in tokens. */
   public getTokens(callId: string, now: number): number {
     const run = this.runs.find(callId);
-    return run === undefined ? 0 : memoryGrowth.getSizeAhead(run.need, now - run.startedAt, 0);
+    return run === undefined ? 0 : memoryGrowth.forecastTokens(run.spec, now - run.startedAt, 0);
   }
 
   /**
@@ -123,7 +125,7 @@
    * each draft that was saved had another one preempted, 18 for 18 on a heavy day. An engine that has no room all the
    * same says so, and is then among those excluded.
    */
-  public renewCopy(
+  public reassignBackup(
     callId: string,
     engineId: string,
     excluded: readonly string[],
@@ -134,20 +136,20 @@
       return undefined;
     }
     // The copy that was lost, or that a holder refused, takes no room any more.
-    this.runs.setCopy(callId, undefined);
-    const copyAt = this.holders.findTaker(run, excluded, now);
-    this.runs.setCopy(callId, copyAt);
+    this.runs.setBackup(callId, undefined);
+    const copyAt = this.holders.findTargetEngine(run, excluded, now);
+    this.runs.setBackup(callId, copyAt);
     return copyAt;
   }
 
   /** The memory that a generation needs when it is placed, in tokens; where it finds no room, who needs more finds none. */
-  public getTokensNeeded(need: placeNeeds.PlaceNeed): number {
-    return memoryGrowth.getSizeAhead(need, 0, getHorizonMs(need));
+  public getTokensNeeded(need: placeNeeds.PlacementSpec): number {
+    return memoryGrowth.forecastTokens(need, 0, getHorizonMs(need));
   }
 
   /** Whether generations run on an engine. */
   public hasRuns(engineId: string): boolean {
-    return (this.engines.get(engineId)?.holdings.running ?? 0) > 0;
+    return (this.engines.get(engineId)?.occupancy.running ?? 0) > 0;
   }
 
   /** Whether an engine may be given work. */
@@ -161,15 +163,15 @@
   }
 
   /** Whether an engine that stays and takes new work keeps a copy of a run. */
-  public hasCopy(callId: string): boolean {
-    const copyAt = this.runs.find(callId)?.copyAt;
+  public hasBackup(callId: string): boolean {
+    const copyAt = this.runs.find(callId)?.backupEngineId;
     const holder = copyAt === undefined ? undefined : this.engines.get(copyAt);
     return holder !== undefined && holder.engine.isClosed !== true;
   }
 
   /** Notes which engine has a copy of a run, or that none has. */
-  public setCopy(callId: string, copyAt: string | undefined): void {
-    this.runs.setCopy(callId, copyAt);
+  public setBackup(callId: string, copyAt: string | undefined): void {
+    this.runs.setBackup(callId, copyAt);
   }
 
   /** Takes a generation off; a failure counts against its engine for a while. */
@@ -179,7 +181,7 @@
     this.runs.remove(callId);
     state?.backlog.remove(callId, now);
     if (hasFailed) {
-      state?.noteFailure(now);
+      state?.recordFailure(now);
     }
   }
 
@@ -187,17 +189,17 @@
   public getSummary(now: number): { running: number; share: number } {
     let total = 0;
     let held = 0;
-    for (const { engine, holdings } of this.engines.values()) {
+    for (const { engine, occupancy: holdings } of this.engines.values()) {
       if (engine.isClosed !== true) {
         total += engine.memoryTokens;
-        held += holdings.getHeld(now, placeLimits.HORIZON_MS);
+        held += holdings.getForecastTokens(now, placeLimits.HORIZON_MS);
       }
     }
     return { running: this.runs.size, share: total === 0 ? 1 : held / total };
   }
 
   private choose(
-    need: placeNeeds.PlaceNeed,
+    need: placeNeeds.PlacementSpec,
     now: number,
     mayWait: boolean,
   ): engineStates.EngineState | undefined {
@@ -205,18 +207,20 @@
       return this.engines.get(need.fixedEngineId);
     }
     const horizonMs = getHorizonMs(need);
-    const size = memoryGrowth.getSizeAhead(need, 0, horizonMs);
+    const size = memoryGrowth.forecastTokens(need, 0, horizonMs);
     let best: engineStates.EngineState | undefined;
     let bestScore = Infinity;
     for (const state of this.engines.values()) {
       const { engineId, isClosed, memoryTokens, slots } = state.engine;
-      const share = (state.holdings.getHeld(now, horizonMs) + size) / memoryTokens;
-      const { running } = state.holdings;
+      const share = (state.occupancy.getForecastTokens(now, horizonMs) + size) / memoryTokens;
+      const { running } = state.occupancy;
       const backlogMs = state.backlog.getMs(now);
-      const isOpen = isClosed !== true && !need.excluded.includes(engineId) && state.bearsSend(now);
-      const hasRoom = isOpen && share <= placeLimits.PLACE_LIMIT && running < slots;
+      const isOpen =
+        isClosed !== true && !need.excluded.includes(engineId) && state.canAcceptSend(now);
+      const hasRoom = isOpen && share <= placeLimits.PLACEMENT_LIMIT && running < slots;
       const isInTime = !mayWait || backlogMs <= BACKLOG_LIMIT_MS;
-      const penalty = state.getFailureWeight(now) + zoneWeights.getFarWeight(state.engine, need);
+      const penalty =
+        state.getFailurePenalty(now) + zoneWeights.getCrossZonePenalty(state.engine, need);
       const score = share + penalty + running * RUN_WEIGHT + backlogMs / BACKLOG_SCALE_MS;
       if (hasRoom && isInTime && score < bestScore) {
         best = state;
@@ -228,19 +232,19 @@
 
   private chooseCopy(callId: string, now: number): string | undefined {
     const run = this.runs.find(callId);
-    if (run === undefined || placeNeeds.isShort(run.need)) {
+    if (run === undefined || placeNeeds.hasShortAnswer(run.spec)) {
       return undefined;
     }
-    return this.holders.findCopyHolder(run, this.getSummary(now).share, now);
+    return this.holders.findBackupEngine(run, this.getSummary(now).share, now);
   }
 
-  private getShare({ engine, holdings }: engineStates.EngineState, now: number): number {
-    return holdings.getHeld(now, placeLimits.HORIZON_MS) / engine.memoryTokens;
+  private getShare({ engine, occupancy: holdings }: engineStates.EngineState, now: number): number {
+    return holdings.getForecastTokens(now, placeLimits.HORIZON_MS) / engine.memoryTokens;
   }
 }
 
-function getHorizonMs(need: placeNeeds.PlaceNeed): number {
-  return placeNeeds.isShort(need) ? SHORT_HORIZON_MS : placeLimits.HORIZON_MS;
+function getHorizonMs(need: placeNeeds.PlacementSpec): number {
+  return placeNeeds.hasShortAnswer(need) ? SHORT_HORIZON_MS : placeLimits.HORIZON_MS;
 }
 
 function isReborn(
--- a/packages/routing/src/engine-holdings.ts
+++ b/packages/routing/src/engine-occupancy.ts
@@ -16,7 +16,7 @@
  * engines and 180 runs, instead of 0.03, measured on one core. Hosts that the leader does not answer in time choose
  * alone, and overfill engines.
  */
-export class EngineHoldings {
+export class EngineOccupancy {
   private readonly runs = new Map<string, placedRuns.PlacedRun>();
   private readonly copies = new Map<string, placedRuns.PlacedRun>();
   /** By horizon, in milliseconds. */
@@ -38,13 +38,13 @@
   }
 
   /** The generations of which a copy is kept there. */
-  public listCopied(): placedRuns.PlacedRun[] {
+  public listBackedUp(): placedRuns.PlacedRun[] {
     return [...this.copies.values()];
   }
 
   /** Enters a generation that runs there. */
   public addRun(run: placedRuns.PlacedRun): void {
-    this.runs.set(run.need.callId, run);
+    this.runs.set(run.spec.callId, run);
     this.lines.clear();
   }
 
@@ -55,19 +55,19 @@
   }
 
   /** Enters a copy. */
-  public addCopy(run: placedRuns.PlacedRun): void {
-    this.copies.set(run.need.callId, run);
+  public addBackup(run: placedRuns.PlacedRun): void {
+    this.copies.set(run.spec.callId, run);
     this.lines.clear();
   }
 
   /** Takes off a copy. */
-  public removeCopy(callId: string): void {
+  public removeBackup(callId: string): void {
     this.copies.delete(callId);
     this.lines.clear();
   }
 
   /** Memory that all of it will fill at a horizon, in tokens. */
-  public getHeld(now: number, horizonMs: number): number {
+  public getForecastTokens(now: number, horizonMs: number): number {
     const known = this.lines.get(horizonMs);
     const isValid = known !== undefined && now >= known.since && now < known.until;
     const line = isValid ? known : this.sum(now, horizonMs);
@@ -79,10 +79,10 @@
     let tokensPerMs = 0;
     let lastsMs = Infinity;
     const add = (run: placedRuns.PlacedRun) => {
-      const line = memoryGrowth.getLineAhead(run.need, now - run.startedAt, horizonMs);
+      const line = memoryGrowth.forecastLine(run.spec, now - run.startedAt, horizonMs);
       tokens += line.tokens;
       tokensPerMs += line.tokensPerMs;
-      lastsMs = Math.min(lastsMs, line.lastsMs);
+      lastsMs = Math.min(lastsMs, line.validMs);
     };
     this.runs.forEach(add);
     this.copies.forEach((run, callId) => {
