--- a/packages/routing/src/engine-state.ts
+++ b/packages/routing/src/engine-state.ts
@@ -1,6 +1,6 @@
-import type * as engineHoldings from './engine-holdings.js';
-import type * as placeNeeds from './place-need.js';
-import * as promptBacklogs from './prompt-backlog.js';
+import type * as engineHoldings from './engine-occupancy.js';
+import type * as placeNeeds from './placement-spec.js';
+import * as promptBacklogs from './prefill-backlog.js';
 import * as recentSends from './recent-sends.js';
 
 /** How much a failure weighs as a share of memory, and after which time half of that, in milliseconds. */
@@ -10,7 +10,7 @@
 /** What the account knows of one engine besides its generations. */
 export class EngineState {
   /** Prompts that it has still to read. */
-  public readonly backlog: promptBacklogs.PromptBacklog;
+  public readonly backlog: promptBacklogs.PrefillBacklog;
   private readonly sends: recentSends.RecentSends;
   private failures: number;
   private failedAt: number;
@@ -19,23 +19,23 @@
   public constructor(
     public readonly engine: placeNeeds.LedgerEngine,
     /** What runs and is kept there. */
-    public readonly holdings: engineHoldings.EngineHoldings,
-    speed: promptBacklogs.ReadingSpeed,
+    public readonly occupancy: engineHoldings.EngineOccupancy,
+    speed: promptBacklogs.PrefillRate,
     former: EngineState | undefined,
   ) {
-    this.backlog = former?.backlog ?? new promptBacklogs.PromptBacklog(speed);
+    this.backlog = former?.backlog ?? new promptBacklogs.PrefillBacklog(speed);
     this.sends = former?.sends ?? new recentSends.RecentSends();
     this.failures = former?.failures ?? 0;
     this.failedAt = former?.failedAt ?? 0;
   }
 
   /** Notes that a generation is sent there. */
-  public noteSend(now: number): void {
-    this.sends.note(now);
+  public recordSend(now: number): void {
+    this.sends.record(now);
   }
 
   /** Whether it bears one more new generation now. An engine may be cold before anybody knows, so there is always a limit. */
-  public bearsSend(now: number): boolean {
+  public canAcceptSend(now: number): boolean {
     const { coldUntil = -Infinity, sendsPerS } = this.engine;
     if (sendsPerS === undefined) {
       return true;
@@ -44,13 +44,13 @@
   }
 
   /** Notes a generation that it broke off. */
-  public noteFailure(now: number): void {
+  public recordFailure(now: number): void {
     this.failures = this.getFailures(now) + 1;
     this.failedAt = now;
   }
 
   /** How much fuller it counts for its failures, as a share of its memory; older ones count less. */
-  public getFailureWeight(now: number): number {
+  public getFailurePenalty(now: number): number {
     return this.getFailures(now) * FAILURE_WEIGHT;
   }
 
--- a/packages/routing/src/fair-queue.ts
+++ b/packages/routing/src/fair-queue.ts
@@ -4,7 +4,7 @@
 const AGING_MS = 20_000;
 
 /** A request that waits. */
-export interface Waiting {
+export interface QueuedRequest {
   readonly req: types.GrantRequest;
   readonly enqueuedAt: number;
   readonly cost: number;
@@ -12,7 +12,7 @@
 
 interface TeamQueue {
   served: number;
-  readonly waiting: Map<types.WorkClass, Waiting[]>;
+  readonly waiting: Map<types.WorkClass, QueuedRequest[]>;
 }
 
 /**
@@ -27,9 +27,9 @@
   public constructor(private readonly getWeight: (team: string) => number) {}
 
   /** Puts a request at the end of its team's line. */
-  public push(item: Waiting): void {
+  public push(item: QueuedRequest): void {
     const queue = this.getTeam(item.req.team);
-    if (this.countOf(item.req.team) === 0) {
+    if (this.countWaiting(item.req.team) === 0) {
       queue.served = Math.max(queue.served, this.level);
     }
     const line = queue.waiting.get(item.req.workClass) ?? [];
@@ -38,7 +38,7 @@
   }
 
   /** Takes a request out, granted or not. */
-  public remove(item: Waiting): void {
+  public remove(item: QueuedRequest): void {
     const line = this.teams.get(item.req.team)?.waiting.get(item.req.workClass);
     const at = line?.indexOf(item) ?? -1;
     if (at >= 0) {
@@ -57,8 +57,8 @@
   }
 
   /** The first of each line, in the order in which they should be served. */
-  public *inOrder(now: number): Generator<Waiting> {
-    const heads: { item: Waiting; rank: number; served: number }[] = [];
+  public *iterateHeads(now: number): Generator<QueuedRequest> {
+    const heads: { item: QueuedRequest; rank: number; served: number }[] = [];
     this.teams.forEach((queue) => {
       queue.waiting.forEach(([item]) => {
         if (item !== undefined) {
@@ -73,7 +73,7 @@
   }
 
   /** Whether a request that does not fit holds back what comes behind it. */
-  public isBlocking(item: Waiting, now: number): boolean {
+  public isBlocking(item: QueuedRequest, now: number): boolean {
     return item.req.workClass === 'batch' && this.isAged(item, now);
   }
 
@@ -83,29 +83,29 @@
   }
 
   /** Every request whose patience is over. */
-  public listOverdue(now: number): Waiting[] {
+  public listTimedOut(now: number): QueuedRequest[] {
     return this.listAll().filter((item) => now - item.enqueuedAt >= item.req.patienceMs);
   }
 
   /** Everything that waits. */
-  public listAll(): Waiting[] {
+  public listAll(): QueuedRequest[] {
     return [...this.teams.values()].flatMap((queue) => [...queue.waiting.values()].flat());
   }
 
   /** How many requests of a team wait. */
-  public countOf(team: string): number {
+  public countWaiting(team: string): number {
     const lines = this.teams.get(team)?.waiting.values() ?? [];
     return [...lines].reduce((sum, line) => sum + line.length, 0);
   }
 
-  private getRank(item: Waiting, now: number): number {
+  private getRank(item: QueuedRequest, now: number): number {
     if (item.req.workClass === 'interactive') {
       return 0;
     }
     return this.isAged(item, now) ? 1 : 2;
   }
 
-  private isAged(item: Waiting, now: number): boolean {
+  private isAged(item: QueuedRequest, now: number): boolean {
     return now - item.enqueuedAt + item.req.waitedMs > AGING_MS;
   }
 
@@ -120,7 +120,7 @@
   }
 
   private getLeastServed(): number {
-    const busy = [...this.teams.entries()].filter(([team]) => this.countOf(team) > 0);
+    const busy = [...this.teams.entries()].filter(([team]) => this.countWaiting(team) > 0);
     return busy.length === 0 ? Infinity : Math.min(...busy.map(([, queue]) => queue.served));
   }
 }
--- a/packages/routing/src/two-choices.ts
+++ b/packages/routing/src/fallback-choice.ts
@@ -1,5 +1,5 @@
 /** What a daemon that decides alone knows of an upstream. */
-export interface LoneCandidate {
+export interface FallbackCandidate {
   readonly upstreamId: string;
   /** What this daemon itself runs there now. */
   readonly outstanding: number;
@@ -11,10 +11,10 @@
 const LONE_SHARE_LIMIT = 0.9;
 
 /** The better of two candidates at random; when every daemon takes the best one, all run to the same. */
-export function chooseOfTwo(
-  candidates: readonly LoneCandidate[],
+export function chooseFallbackUpstream(
+  candidates: readonly FallbackCandidate[],
   random: () => number,
-): LoneCandidate | undefined {
+): FallbackCandidate | undefined {
   const usable = candidates.filter((item) => item.reportedShare < LONE_SHARE_LIMIT);
   if (usable.length === 0) {
     return undefined;
@@ -24,6 +24,6 @@
   return getLoad(second) < getLoad(first) ? second : first;
 }
 
-function getLoad(candidate: LoneCandidate): number {
+function getLoad(candidate: FallbackCandidate): number {
   return candidate.outstanding * 0.1 + candidate.reportedShare;
 }
--- a/packages/routing/src/length-distribution.ts
+++ b/packages/routing/src/length-distribution.ts
@@ -46,16 +46,16 @@
   public constructor(private readonly parent?: LengthDistribution) {}
 
   /** Counts the buckets that a running generation has passed since `from`. */
-  public pass(from: number, to: number): void {
+  public recordProgress(from: number, to: number): void {
     for (let bucket = from; bucket < to; bucket += 1) {
       this.reached[bucket]! += 1;
     }
     this.isStale = this.isStale || to > from;
-    this.parent?.pass(from, to);
+    this.parent?.recordProgress(from, to);
   }
 
   /** Counts the end of a generation whose earlier buckets are counted. */
-  public end(bucket: number): void {
+  public recordEnd(bucket: number): void {
     this.reached[bucket]! += 1;
     this.ended[bucket]! += 1;
     this.ends += 1;
@@ -63,17 +63,17 @@
     if (this.ends >= HALF_LIFE_ENDS) {
       this.halve();
     }
-    this.parent?.end(bucket);
+    this.parent?.recordEnd(bucket);
   }
 
   /** The chance that a generation of `from` tokens goes on to `to`. */
-  public getChance(from: number, to: number): number {
+  public getSurvival(from: number, to: number): number {
     this.refresh();
     return Math.exp(this.getLogSurvival(to) - this.getLogSurvival(from));
   }
 
   /** The same for many moments at once, each so many tokens on from `from`. */
-  public fillChances(from: number, steps: readonly number[], out: Float64Array): void {
+  public fillSurvival(from: number, steps: readonly number[], out: Float64Array): void {
     this.refresh();
     const now = this.getLogSurvival(from);
     for (let i = 0; i < steps.length; i += 1) {
@@ -82,12 +82,12 @@
   }
 
   /** The mean number of tokens that a generation of `from` tokens still produces, up to `most` in all. */
-  public getMeanRest(from: number, most: number): number {
+  public getMeanRemaining(from: number, most: number): number {
     let mean = 0;
     let at = from;
     for (let bucket = getBucket(from) + 1; at < most; bucket += 1) {
       const next = bucket >= BUCKETS ? most : Math.min(getBucketStart(bucket), most);
-      mean += this.getChance(from, (at + next) / 2) * (next - at);
+      mean += this.getSurvival(from, (at + next) / 2) * (next - at);
       at = next;
     }
     return mean;
--- a/packages/routing/src/live-generation.ts
+++ b/packages/routing/src/live-generation.ts
@@ -25,7 +25,7 @@
     this.toldAt = now;
     this.tokens = Math.max(this.tokens, tokens);
     const bucket = lengths.getBucket(this.tokens);
-    this.distribution.pass(this.counted, bucket);
+    this.distribution.recordProgress(this.counted, bucket);
     this.counted = Math.max(this.counted, bucket);
   }
 
@@ -33,19 +33,19 @@
   public end(tokens: number, isNatural: boolean, now: number): void {
     this.advance(tokens, now);
     if (isNatural) {
-      this.distribution.end(this.counted);
+      this.distribution.recordEnd(this.counted);
     }
   }
 
   /** How many tokens it probably has by now, at a speed in tokens per second. */
-  public getLikelyTokens(now: number, speed: number): number {
+  public estimateTokens(now: number, speed: number): number {
     const aheadMs = Math.min(Math.max(now - this.toldAt, 0), MAX_AHEAD_MS);
     return Math.min(this.tokens + (speed * aheadMs) / 1_000, this.facts.maxTokens - 1);
   }
 
   /** The chances that it still holds memory so many tokens on from `tokens`; none beyond its limit. */
-  public fillChances(tokens: number, steps: readonly number[], out: Float64Array): void {
-    this.distribution.fillChances(tokens, steps, out);
+  public fillSurvival(tokens: number, steps: readonly number[], out: Float64Array): void {
+    this.distribution.fillSurvival(tokens, steps, out);
     for (let i = 0; i < steps.length; i += 1) {
       if (steps[i] === 0) {
         out[i] = 1;
--- a/packages/routing/src/load-choice.ts
+++ b/packages/routing/src/load-choice.ts
@@ -61,13 +61,13 @@
 
 /** The share of an engine's memory that is probably taken. */
 export function getMemoryShare(item: EngineCandidate, now: number): number {
-  const others = item.load.getBusy(now) - item.load.calls;
+  const others = item.load.getActiveCalls(now) - item.load.calls;
   const taken = item.load.tokens + others * item.meanTokens;
   return taken / item.memoryTokens + getPenalty(item, now);
 }
 
 function getCallShare(item: LoadCandidate, now: number): number {
-  return item.load.getBusy(now) / item.slots + getPenalty(item, now);
+  return item.load.getActiveCalls(now) / item.slots + getPenalty(item, now);
 }
 
 function getPenalty(item: LoadCandidate, now: number): number {
--- a/packages/routing/src/memory-forecast.ts
+++ b/packages/routing/src/memory-forecast.ts
@@ -4,7 +4,7 @@
  * The moments looked at, in tokens from now. They lie close together, since a peak between two of them
  * would not be seen.
  */
-export const HORIZON = [
+export const FORECAST_OFFSETS = [
   0, 16, 32, 64, 96, 144, 216, 324, 486, 729, 1_094, 1_640, 2_460, 3_690, 5_536, 8_304, 12_456,
   18_684,
 ] as const;
@@ -15,14 +15,14 @@
 /** Below which chance of still running a joining generation does not count at a moment. */
 const NEGLIGIBLE = 0.02;
 
-const chances = new Float64Array(HORIZON.length);
+const chances = new Float64Array(FORECAST_OFFSETS.length);
 
 /** What one generation is expected to hold at each moment, in tokens. */
-export class Expected {
-  public readonly mean = new Float64Array(HORIZON.length);
-  public readonly variance = new Float64Array(HORIZON.length);
+export class ExpectedMemory {
+  public readonly mean = new Float64Array(FORECAST_OFFSETS.length);
+  public readonly variance = new Float64Array(FORECAST_OFFSETS.length);
   /** How many moments it will probably live to see. */
-  public moments = 0;
+  public relevantOffsets = 0;
 
   public constructor(private readonly generation: liveGenerations.LiveGeneration) {
     this.update(generation.tokens);
@@ -31,23 +31,23 @@
   /** Works it out anew; in place, since owners do this for hundreds of generations several times a second. */
   public update(tokens: number): void {
     const held = this.generation.facts.promptTokens + tokens + BLOCK_TOKENS;
-    this.generation.fillChances(tokens, HORIZON, chances);
-    this.moments = 0;
-    for (let i = 0; i < HORIZON.length; i += 1) {
-      const size = held + HORIZON[i]!;
+    this.generation.fillSurvival(tokens, FORECAST_OFFSETS, chances);
+    this.relevantOffsets = 0;
+    for (let i = 0; i < FORECAST_OFFSETS.length; i += 1) {
+      const size = held + FORECAST_OFFSETS[i]!;
       const chance = chances[i]!;
       this.mean[i] = size * chance;
       this.variance[i] = size * size * chance * (1 - chance);
-      this.moments += chance >= NEGLIGIBLE && this.moments === i ? 1 : 0;
+      this.relevantOffsets += chance >= NEGLIGIBLE && this.relevantOffsets === i ? 1 : 0;
     }
   }
 }
 
 /** Mean and variance of the memory in use at each moment of the horizon, in tokens. */
 export class MemoryForecast {
-  private readonly mean = new Float64Array(HORIZON.length);
-  private readonly variance = new Float64Array(HORIZON.length);
-  private readonly parts = new Map<string, Expected>();
+  private readonly mean = new Float64Array(FORECAST_OFFSETS.length);
+  private readonly variance = new Float64Array(FORECAST_OFFSETS.length);
+  private readonly parts = new Map<string, ExpectedMemory>();
 
   /** Works everything out anew, which also drops what rounding has left behind. */
   public rebuild(getTokens: (generation: string) => number): void {
@@ -60,7 +60,7 @@
   }
 
   /** Adds one generation. */
-  public add(generation: string, part: Expected): void {
+  public add(generation: string, part: ExpectedMemory): void {
     this.parts.set(generation, part);
     this.sum(part, 1);
   }
@@ -80,8 +80,8 @@
    * the sum of means would overflow every other time. Only moments at which the joining one probably still
    * runs are looked at: a short check must not wait for a peak that it will not live to see.
    */
-  public getPressure(capacity: number, quantile: number, joining?: Expected): number {
-    const moments = joining?.moments ?? HORIZON.length;
+  public getPressure(capacity: number, quantile: number, joining?: ExpectedMemory): number {
+    const moments = joining?.relevantOffsets ?? FORECAST_OFFSETS.length;
     let worst = 0;
     for (let i = 0; i < moments; i += 1) {
       const mean = this.mean[i]! + (joining?.mean[i] ?? 0);
@@ -92,12 +92,12 @@
   }
 
   /** The mean memory in use now, in tokens. */
-  public getHeld(): number {
+  public getMeanTokens(): number {
     return this.mean[0]!;
   }
 
-  private sum(part: Expected, sign: 1 | -1): void {
-    for (let i = 0; i < HORIZON.length; i += 1) {
+  private sum(part: ExpectedMemory, sign: 1 | -1): void {
+    for (let i = 0; i < FORECAST_OFFSETS.length; i += 1) {
       this.mean[i]! += sign * part.mean[i]!;
       this.variance[i]! += sign * part.variance[i]!;
     }
--- a/packages/routing/src/hand-over-plan.ts
+++ b/packages/routing/src/migration-scheduler.ts
@@ -10,20 +10,20 @@
 const ENDS_SOON_MS = 800;
 
 /** A run that can be handed over, as the host that has its caller offers it. */
-export interface OfferedRun {
+export interface MigrationCandidate {
   readonly callId: string;
   readonly engineId: string;
   /** Engines that had no room for it. */
   readonly excluded: readonly string[];
   /** Until when the host waits for an answer. */
-  readonly endsAt: number;
+  readonly expiresAt: number;
 }
 
 /** What a host is told about a run that it offered. */
-export interface SettledRun<R extends OfferedRun> {
+export interface MigrationDecision<R extends MigrationCandidate> {
   readonly run: R;
   /** The engine that takes it over now; nothing when its wait is over. */
-  readonly takerId: string | undefined;
+  readonly targetEngineId: string | undefined;
 }
 
 interface Turn {
@@ -36,7 +36,7 @@
  * at once all come late, and the last small part of each, for which its stream stands still, queues behind whole
  * copies of the others: pauses of 0.3 to 0.7 s. In turn each takes its own time only, and the pause is a few events.
  */
-export class HandOverPlan<R extends OfferedRun = OfferedRun> {
+export class MigrationScheduler<R extends MigrationCandidate = MigrationCandidate> {
   /** In the order in which their waits end. */
   private readonly offered = new Map<string, R>();
   private readonly byEngine = new Map<string, Map<string, R>>();
@@ -58,7 +58,7 @@
   }
 
   /** Ends a run's turn: it was handed over, or is not. */
-  public endTurn(callId: string): void {
+  public endMigration(callId: string): void {
     this.turns.delete(callId);
   }
 
@@ -69,27 +69,27 @@
   }
 
   /** Whether some run is being handed over now. */
-  public isBusy(): boolean {
+  public isMigrating(): boolean {
     return this.turns.size > 0;
   }
 
   /** The runs whose turn begins now, and those whose hosts have waited long enough. */
-  public serve(now: number): SettledRun<R>[] {
+  public dispatch(now: number): MigrationDecision<R>[] {
     this.turns.forEach(({ endsAt }, callId) => {
       if (now >= endsAt) {
         // Whether the copy was made is not known; the run is better copied twice than left without one.
         this.turns.delete(callId);
-        this.ledger.setCopy(callId, undefined);
+        this.ledger.setBackup(callId, undefined);
       }
     });
     return [...this.leaveEngines(now), ...this.endWaits(now)];
   }
 
   /** Of each engine that leaves, one run at a time. */
-  private leaveEngines(now: number): SettledRun<R>[] {
+  private leaveEngines(now: number): MigrationDecision<R>[] {
     return [...this.byEngine]
       .filter(([engineId]) => !this.ledger.isListed(engineId) && !this.isSending(engineId))
-      .map(([, runs]) => [...runs.values()].filter(({ callId }) => !this.ledger.hasCopy(callId)))
+      .map(([, runs]) => [...runs.values()].filter(({ callId }) => !this.ledger.hasBackup(callId)))
       .flatMap((runs) => this.leaveFirst(runs, now));
   }
 
@@ -97,7 +97,7 @@
    * The smallest first, so that as many as possible are through before the engine is gone. Those that end by
    * themselves in that time go last.
    */
-  private leaveFirst(runs: readonly R[], now: number): SettledRun<R>[] {
+  private leaveFirst(runs: readonly R[], now: number): MigrationDecision<R>[] {
     const ranked = runs
       .map((run) => ({
         run,
@@ -106,7 +106,7 @@
       }))
       .sort((a, b) => Number(a.endsSoon) - Number(b.endsSoon) || a.tokens - b.tokens);
     for (const { run } of ranked) {
-      const takerId = this.ledger.renewCopy(run.callId, run.engineId, run.excluded, now);
+      const takerId = this.ledger.reassignBackup(run.callId, run.engineId, run.excluded, now);
       if (takerId !== undefined) {
         return [this.begin(run, takerId, now)];
       }
@@ -114,22 +114,22 @@
     return [];
   }
 
-  private endWaits(now: number): SettledRun<R>[] {
-    const settled: SettledRun<R>[] = [];
+  private endWaits(now: number): MigrationDecision<R>[] {
+    const settled: MigrationDecision<R>[] = [];
     for (const run of this.offered.values()) {
-      if (now < run.endsAt) {
+      if (now < run.expiresAt) {
         break;
       }
       this.drop(run.callId);
-      settled.push({ run, takerId: undefined });
+      settled.push({ run, targetEngineId: undefined });
     }
     return settled;
   }
 
-  private begin(run: R, takerId: string, now: number): SettledRun<R> {
+  private begin(run: R, takerId: string, now: number): MigrationDecision<R> {
     this.drop(run.callId);
     this.turns.set(run.callId, { engineId: run.engineId, endsAt: now + TURN_MS });
-    return { run, takerId };
+    return { run, targetEngineId: takerId };
   }
 
   private drop(callId: string): R | undefined {
--- a/packages/routing/src/placed-run.ts
+++ b/packages/routing/src/placed-run.ts
@@ -1,13 +1,13 @@
-import type * as placeNeeds from './place-need.js';
+import type * as placeNeeds from './placement-spec.js';
 
 /** A generation that was placed. */
 export interface PlacedRun {
-  readonly need: placeNeeds.PlaceNeed;
+  readonly spec: placeNeeds.PlacementSpec;
   readonly startedAt: number;
-  readonly endsAt: number;
+  readonly expiresAt: number;
   readonly engineId: string;
   /** The availability zone of its engine, which may no longer be listed when it leaves. */
   readonly zone: string | undefined;
   /** The engine that keeps a copy of its memory. */
-  copyAt: string | undefined;
+  backupEngineId: string | undefined;
 }
--- a/packages/routing/src/place-limits.ts
+++ b/packages/routing/src/placement-limits.ts
@@ -5,4 +5,4 @@
 export const HORIZON_MS = 3_000;
 
 /** The forecast share of memory up to which generations are placed; the rest is for answers longer than told. */
-export const PLACE_LIMIT = 0.92;
+export const PLACEMENT_LIMIT = 0.92;
--- a/packages/routing/src/place-need.ts
+++ b/packages/routing/src/placement-spec.ts
@@ -15,7 +15,7 @@
 }
 
 /** A generation that is to be placed. */
-export interface PlaceNeed {
+export interface PlacementSpec {
   readonly callId: string;
   /** The availability zone of the entry host that has the caller. */
   readonly availabilityZone: string;
@@ -49,6 +49,6 @@
 export const SHORT_ANSWER_TOKENS = 60;
 
 /** Whether a generation's answer is short. */
-export function isShort(need: PlaceNeed): boolean {
+export function hasShortAnswer(need: PlacementSpec): boolean {
   return need.answerTokens <= SHORT_ANSWER_TOKENS;
 }
--- a/packages/routing/src/pool-account.ts
+++ b/packages/routing/src/pool-ledger.ts
@@ -3,7 +3,7 @@
 import * as lengthModels from './length-model.js';
 import * as liveGenerations from './live-generation.js';
 import type * as types from './types.js';
-import * as rooms from './upstream-room.js';
+import * as rooms from './upstream-ledger.js';
 
 /** How long progress of a daemon may be missing before its generations leave the account. */
 const SILENT_MS = 10_000;
@@ -12,10 +12,10 @@
 const FORGOTTEN_MS = 5_000;
 
 /** What an account is made of. */
-export interface PoolAccountOptions {
+export interface PoolLedgerOptions {
   readonly clock: schemas.Clock;
   /** Tokens of an engine's memory that the pool's intents may fill. */
-  readonly roomTokens: number;
+  readonly capacityTokens: number;
   /** Where lengths are learned; an oracle may stand in. */
   readonly lengths?: lengthModels.LengthSource;
   /** Told what a team was granted (positive), or granted and did not use (negative). */
@@ -23,19 +23,19 @@
 }
 
 /** What runs on the engines of a pool, as far as its owner knows, and how their memory will fill. */
-export class PoolAccount {
-  private readonly rooms = new Map<string, rooms.UpstreamRoom>();
+export class PoolLedger {
+  private readonly rooms = new Map<string, rooms.UpstreamLedger>();
   private readonly lengths: lengthModels.LengthSource;
   private readonly running = new Map<string, number>();
   private readonly heardAt = new Map<string, number>();
   private readonly costs = new Map<string, number>();
 
-  public constructor(private readonly options: PoolAccountOptions) {
+  public constructor(private readonly options: PoolLedgerOptions) {
     this.lengths = options.lengths ?? new lengthModels.LengthModel();
   }
 
   /** Every engine of the pool. */
-  public listRooms(): rooms.UpstreamRoom[] {
+  public listUpstreams(): rooms.UpstreamLedger[] {
     return [...this.rooms.values()];
   }
 
@@ -51,7 +51,7 @@
     gone.forEach((id) => this.dropUpstream(id));
     upstreams.forEach(({ upstreamId, isLeaving }) => {
       const known = this.rooms.get(upstreamId);
-      const room = known ?? new rooms.UpstreamRoom(upstreamId, this.options.roomTokens);
+      const room = known ?? new rooms.UpstreamLedger(upstreamId, this.options.capacityTokens);
       room.isLeaving = isLeaving;
       this.rooms.set(upstreamId, room);
     });
@@ -67,20 +67,20 @@
   }
 
   /** Takes an upstream's load report. */
-  public takeReport(upstreamId: string, report: schemas.LoadReport): void {
-    this.rooms.get(upstreamId)?.takeReport(report, this.options.clock.now());
+  public applyReport(upstreamId: string, report: schemas.LoadReport): void {
+    this.rooms.get(upstreamId)?.applyReport(report, this.options.clock.now());
   }
 
   /** What a request is expected to cost its team, in tokens. */
   public getCost(req: types.GrantRequest): number {
     const distribution = this.lengths.get(req.team, req.workClass);
-    return req.promptTokens + distribution.getMeanRest(0, req.maxTokens);
+    return req.promptTokens + distribution.getMeanRemaining(0, req.maxTokens);
   }
 
   /** Adds a generation that was granted. */
-  public admit(room: rooms.UpstreamRoom, facts: types.RunningGeneration, cost: number): void {
+  public admit(room: rooms.UpstreamLedger, facts: types.RunningGeneration, cost: number): void {
     const now = this.options.clock.now();
-    room.add(this.createLive(facts));
+    room.add(this.createGeneration(facts));
     this.running.set(facts.team, this.countRunning(facts.team) + 1);
     this.costs.set(facts.generation, cost);
     this.heardAt.set(facts.daemonId, this.heardAt.get(facts.daemonId) ?? now);
@@ -98,7 +98,7 @@
   }
 
   /** Takes the tokens so far of all generations of a daemon. */
-  public progress(batch: types.ProgressBatch): void {
+  public applyProgress(batch: types.ProgressBatch): void {
     const now = this.options.clock.now();
     const sinceMs = now - (this.heardAt.get(batch.daemonId) ?? now);
     this.heardAt.set(batch.daemonId, now);
@@ -114,7 +114,7 @@
         gained += item.tokens - before;
       });
       if (moved.length > 0 && sinceMs > 0) {
-        room.noteSpeed((gained * 1_000) / (sinceMs * moved.length));
+        room.recordSpeed((gained * 1_000) / (sinceMs * moved.length));
       }
     });
     this.dropForgotten(batch.daemonId, tokens, now);
@@ -122,7 +122,7 @@
 
   /** Takes a generation off the account; false when it is not there. */
   public finish(generation: string, tokens: number, isNatural: boolean): boolean {
-    const room = this.listRooms().find((item) => item.generations.has(generation));
+    const room = this.listUpstreams().find((item) => item.generations.has(generation));
     const now = this.options.clock.now();
     const live = room?.remove(generation);
     if (live === undefined) {
@@ -142,12 +142,12 @@
     const now = this.options.clock.now();
     this.rooms.forEach((room) => {
       room.rebuild(now);
-      room.remember(now);
+      room.recordSample(now);
     });
   }
 
   /** A generation as the forecasts see it. */
-  public createLive(facts: types.RunningGeneration): liveGenerations.LiveGeneration {
+  public createGeneration(facts: types.RunningGeneration): liveGenerations.LiveGeneration {
     const distribution = this.lengths.get(facts.team, facts.workClass);
     return new liveGenerations.LiveGeneration(facts, distribution, this.options.clock.now());
   }
--- a/packages/routing/src/pool-owner.ts
+++ b/packages/routing/src/pool-owner.ts
@@ -3,11 +3,11 @@
 
 import * as fairQueues from './fair-queue.js';
 import type * as lengthModels from './length-model.js';
-import * as accounts from './pool-account.js';
+import * as accounts from './pool-ledger.js';
 import * as affinities from './prefix-affinity.js';
 import type * as types from './types.js';
-import * as choices from './upstream-choice.js';
-import type * as rooms from './upstream-room.js';
+import * as choices from './upstream-selector.js';
+import type * as rooms from './upstream-ledger.js';
 
 /** How many heads of lines are tried when the first does not fit. */
 const MAX_TRIED = 16;
@@ -26,39 +26,39 @@
   readonly clock: schemas.Clock;
   readonly overflowRisk: number;
   /** Tokens of an engine's memory that the pool's intents may fill. */
-  readonly roomTokens: number;
+  readonly capacityTokens: number;
   readonly getShare: (team: string) => types.TeamShare;
   /** Where lengths are learned; an oracle may stand in. */
   readonly lengths?: lengthModels.LengthSource;
-  readonly createChoice?: (
+  readonly createSelector?: (
     quantile: number,
     affinity: affinities.PrefixAffinity,
-  ) => choices.UpstreamChoice;
+  ) => choices.UpstreamSelector;
 }
 
-interface Ticket extends fairQueues.Waiting {
+interface Ticket extends fairQueues.QueuedRequest {
   readonly decide: (decision: types.GrantDecision) => void;
 }
 
 /** The queue and the account of room of one pool: the engines of one model in one availability zone. */
 export class PoolOwner {
   public readonly affinity = new affinities.PrefixAffinity();
-  private readonly account: accounts.PoolAccount;
+  private readonly account: accounts.PoolLedger;
   private readonly queue: fairQueues.FairQueue;
-  private readonly choice: choices.UpstreamChoice;
+  private readonly choice: choices.UpstreamSelector;
   private readonly tickets = new Map<string, Ticket>();
   private isBatchAged = false;
 
   public constructor(private readonly options: PoolOwnerOptions) {
     const quantile = statistics.probit(1 - options.overflowRisk);
     this.queue = new fairQueues.FairQueue((team) => options.getShare(team).weight);
-    this.account = new accounts.PoolAccount({
+    this.account = new accounts.PoolLedger({
       ...options,
       charge: (team, cost) => this.queue.charge(team, cost),
     });
     this.choice =
-      options.createChoice?.(quantile, this.affinity) ??
-      new choices.OverflowAwareChoice(quantile, this.affinity);
+      options.createSelector?.(quantile, this.affinity) ??
+      new choices.OverflowAwareSelector(quantile, this.affinity);
   }
 
   /** Sets which upstreams the pool has; those that left get nothing more. */
@@ -74,15 +74,15 @@
   }
 
   /** Takes an upstream's load report. */
-  public takeReport(upstreamId: string, report: schemas.LoadReport): void {
-    this.account.takeReport(upstreamId, report);
+  public applyReport(upstreamId: string, report: schemas.LoadReport): void {
+    this.account.applyReport(upstreamId, report);
     this.pump();
   }
 
   /** Asks for room; `decide` is called once, now or later. */
   public request(req: types.GrantRequest, decide: (decision: types.GrantDecision) => void): void {
     const share = this.options.getShare(req.team);
-    const waiting = this.queue.countOf(req.team);
+    const waiting = this.queue.countWaiting(req.team);
     const running = this.account.countRunning(req.team);
     if (running + waiting >= share.maxConcurrent + share.maxQueued) {
       decide(this.refuse('too-many', req, 0));
@@ -93,7 +93,7 @@
       return;
     }
     // Every upstream has refused it already: waiting would only put the final answer off.
-    const all = this.account.listRooms();
+    const all = this.account.listUpstreams();
     if (all.length > 0 && all.every((room) => req.excluded.includes(room.upstreamId))) {
       decide(this.refuse('excluded', req, 0));
       return;
@@ -120,8 +120,8 @@
   }
 
   /** Takes the tokens so far of all generations of a daemon. */
-  public progress(batch: types.ProgressBatch): void {
-    this.account.progress(batch);
+  public applyProgress(batch: types.ProgressBatch): void {
+    this.account.applyProgress(batch);
     this.pump();
   }
 
@@ -137,7 +137,7 @@
     const now = this.options.clock.now();
     this.refresh();
     this.isBatchAged = this.queue.hasAgedBatch(now);
-    (this.queue.listOverdue(now) as Ticket[]).forEach((ticket) => {
+    (this.queue.listTimedOut(now) as Ticket[]).forEach((ticket) => {
       this.settle(ticket, this.refuse('patience', ticket.req, now - ticket.enqueuedAt));
     });
     this.pump();
@@ -157,7 +157,7 @@
 
   /** How the pool stands, for operators and measurements. */
   public getSummary(): { waiting: number; running: number; pressure: Record<string, number> } {
-    const all = this.account.listRooms();
+    const all = this.account.listUpstreams();
     return {
       waiting: this.tickets.size,
       running: all.reduce((sum, room) => sum + room.generations.size, 0),
@@ -174,7 +174,7 @@
   private grantOne(): boolean {
     const now = this.options.clock.now();
     let tried = 0;
-    for (const waiting of this.queue.inOrder(now)) {
+    for (const waiting of this.queue.iterateHeads(now)) {
       const ticket = waiting as Ticket;
       tried += 1;
       if (this.tryGrant(ticket, now)) {
@@ -196,16 +196,16 @@
       return false;
     }
     const candidates = this.listCandidates(req);
-    const joining = this.account.createLive({ ...req, upstreamId: '', tokens: 0 });
+    const joining = this.account.createGeneration({ ...req, upstreamId: '', tokens: 0 });
     const choice =
-      this.choice.choose(candidates, joining, req.prefix, now) ??
+      this.choice.select(candidates, joining, req.prefix, now) ??
       this.chooseUrgent(ticket, candidates, now);
     if (choice === undefined) {
       return false;
     }
     const { upstreamId } = choice.room;
     this.account.admit(choice.room, { ...req, upstreamId, tokens: 0 }, ticket.cost);
-    this.affinity.note(req.prefix, upstreamId, now);
+    this.affinity.add(req.prefix, upstreamId, now);
     this.settle(ticket, {
       upstreamId,
       reason: choice.reason,
@@ -222,9 +222,9 @@
    */
   private chooseUrgent(
     ticket: Ticket,
-    candidates: readonly rooms.UpstreamRoom[],
+    candidates: readonly rooms.UpstreamLedger[],
     now: number,
-  ): choices.Choice | undefined {
+  ): choices.UpstreamSelection | undefined {
     const isUrgent =
       ticket.req.workClass === 'interactive' && now - ticket.enqueuedAt >= URGENT_AFTER_MS;
     if (!isUrgent) {
@@ -236,9 +236,9 @@
     return best === undefined ? undefined : { ...best, reason: 'urgent' };
   }
 
-  private listCandidates(req: types.GrantRequest): rooms.UpstreamRoom[] {
+  private listCandidates(req: types.GrantRequest): rooms.UpstreamLedger[] {
     const usable = this.account
-      .listRooms()
+      .listUpstreams()
       .filter((room) => !room.isLeaving && !req.excluded.includes(room.upstreamId));
     // Interactive work passes drafts, but a flood of it must leave them room, or they would never start.
     const isBounded = req.workClass === 'interactive' && this.isBatchAged;
@@ -258,7 +258,7 @@
     req: types.GrantRequest,
     queuedMs: number,
   ): types.GrantDecision {
-    const waiting = this.queue.countOf(req.team);
+    const waiting = this.queue.countWaiting(req.team);
     const retryAfterS = Math.max(1, Math.ceil(waiting * RETRY_S_PER_WAITING));
     return { upstreamId: undefined, reason, queuedMs, pressure: 0, retryAfterS };
   }
--- a/packages/routing/src/prompt-backlog.ts
+++ b/packages/routing/src/prefill-backlog.ts
@@ -12,11 +12,11 @@
 const UNTOLD_FACTOR = 4;
 
 /** How fast engines of one pool read prompts, learned from the prompts' first events. */
-export class ReadingSpeed {
+export class PrefillRate {
   private perMs = FIRST_GUESS_PER_MS;
 
   /** Takes a prompt that was read in so many milliseconds. */
-  public learn(tokens: number, ms: number): void {
+  public observe(tokens: number, ms: number): void {
     const seen = tokens / Math.max(1, ms);
     if (seen >= LEAST_PER_MS && seen <= MOST_PER_MS) {
       this.perMs += (seen - this.perMs) * LEARNING_RATE;
@@ -37,14 +37,14 @@
  * The prompts that were placed on one engine and of which no event was seen yet. The engine reads them one after the
  * other, so their sum says how long the next one waits; where it is long, the next one's first event is late there.
  */
-export class PromptBacklog {
+export class PrefillBacklog {
   private readonly unread = new Map<string, Unread>();
   /** The tokens of all of them. */
   private unreadTokens = 0;
   /** Since when the prompt that came first is being read. */
   private headSince = 0;
 
-  public constructor(private readonly speed: ReadingSpeed) {}
+  public constructor(private readonly speed: PrefillRate) {}
 
   /** Notes a prompt that was sent there. */
   public add(callId: string, tokens: number, now: number): void {
@@ -56,13 +56,13 @@
   }
 
   /** Notes that a prompt was read, since its answer has begun; how long that took tells the engine's speed. */
-  public noteBegun(callId: string, now: number): void {
+  public recordFirstEvent(callId: string, now: number): void {
     const prompt = this.unread.get(callId);
     if (prompt === undefined) {
       return;
     }
     if (this.isHead(callId)) {
-      this.speed.learn(prompt.tokens, now - this.headSince);
+      this.speed.observe(prompt.tokens, now - this.headSince);
     }
     this.remove(callId, now);
   }
--- a/packages/routing/src/prefix-affinity.ts
+++ b/packages/routing/src/prefix-affinity.ts
@@ -12,7 +12,7 @@
   private readonly holders = new Map<string, Map<string, number>>();
 
   /** Notes that an upstream holds a prefix as of `now`. */
-  public note(prefix: string, upstreamId: string, now: number): void {
+  public add(prefix: string, upstreamId: string, now: number): void {
     if (prefix === '') {
       return;
     }
@@ -25,7 +25,7 @@
   }
 
   /** Notes that an upstream dropped a prefix. */
-  public drop(prefix: string, upstreamId: string): void {
+  public remove(prefix: string, upstreamId: string): void {
     this.holders.get(prefix)?.delete(upstreamId);
   }
 
--- a/packages/routing/src/recent-sends.ts
+++ b/packages/routing/src/recent-sends.ts
@@ -6,7 +6,7 @@
   private sentAt: number[] = [];
 
   /** Notes a send. */
-  public note(now: number): void {
+  public record(now: number): void {
     this.sentAt.push(now);
   }
 
--- a/packages/routing/src/run-account.ts
+++ b/packages/routing/src/run-registry.ts
@@ -1,4 +1,4 @@
-import * as engineHoldings from './engine-holdings.js';
+import * as engineHoldings from './engine-occupancy.js';
 import type * as placedRuns from './placed-run.js';
 
 /** How long after its end a generation that nobody took off still counts, in milliseconds. */
@@ -8,9 +8,9 @@
 const OVERDUE_CHECK_MS = 200;
 
 /** Every generation of one pool with its size and its copy, by engine. */
-export class RunAccount {
+export class RunRegistry {
   private readonly runs = new Map<string, placedRuns.PlacedRun>();
-  private readonly byEngine = new Map<string, engineHoldings.EngineHoldings>();
+  private readonly byEngine = new Map<string, engineHoldings.EngineOccupancy>();
   private checkedAt = -Infinity;
 
   /** How many generations there are. */
@@ -20,11 +20,11 @@
 
   /** Enters a generation; what was known of it before no longer counts. */
   public set(run: placedRuns.PlacedRun): void {
-    this.remove(run.need.callId);
-    this.runs.set(run.need.callId, run);
-    this.getHoldings(run.engineId).addRun(run);
-    if (run.copyAt !== undefined) {
-      this.getHoldings(run.copyAt).addCopy(run);
+    this.remove(run.spec.callId);
+    this.runs.set(run.spec.callId, run);
+    this.getOccupancy(run.engineId).addRun(run);
+    if (run.backupEngineId !== undefined) {
+      this.getOccupancy(run.backupEngineId).addBackup(run);
     }
   }
 
@@ -44,39 +44,39 @@
     if (run === undefined) {
       return;
     }
-    this.setCopy(callId, undefined);
+    this.setBackup(callId, undefined);
     this.runs.delete(callId);
-    this.getHoldings(run.engineId).removeRun(callId);
+    this.getOccupancy(run.engineId).removeRun(callId);
   }
 
   /** Notes which engine has a copy of a generation, or that none has. */
-  public setCopy(callId: string, copyAt: string | undefined): void {
+  public setBackup(callId: string, copyAt: string | undefined): void {
     const run = this.runs.get(callId);
-    if (run === undefined || run.copyAt === copyAt) {
+    if (run === undefined || run.backupEngineId === copyAt) {
       return;
     }
-    if (run.copyAt !== undefined) {
-      this.getHoldings(run.copyAt).removeCopy(callId);
+    if (run.backupEngineId !== undefined) {
+      this.getOccupancy(run.backupEngineId).removeBackup(callId);
     }
-    run.copyAt = copyAt;
+    run.backupEngineId = copyAt;
     if (copyAt !== undefined) {
-      this.getHoldings(copyAt).addCopy(run);
+      this.getOccupancy(copyAt).addBackup(run);
     }
   }
 
   /** What runs and is kept on an engine; the same object for as long as the engine is listed. */
-  public getHoldings(engineId: string): engineHoldings.EngineHoldings {
+  public getOccupancy(engineId: string): engineHoldings.EngineOccupancy {
     const known = this.byEngine.get(engineId);
     if (known !== undefined) {
       return known;
     }
-    const created = new engineHoldings.EngineHoldings();
+    const created = new engineHoldings.EngineOccupancy();
     this.byEngine.set(engineId, created);
     return created;
   }
 
   /** Forgets engines that are no longer listed and on which nothing runs any more. */
-  public keepListed(isListed: (engineId: string) => boolean): void {
+  public removeUnlisted(isListed: (engineId: string) => boolean): void {
     this.byEngine.forEach((holdings, engineId) => {
       if (holdings.isEmpty && !isListed(engineId)) {
         this.byEngine.delete(engineId);
@@ -85,10 +85,10 @@
   }
 
   /** An engine that started again has none of the runs and copies that were there. */
-  public forgetWorkAt(engineId: string): void {
+  public removeWorkAt(engineId: string): void {
     const holdings = this.byEngine.get(engineId);
-    holdings?.listRuns().forEach(({ need }) => this.remove(need.callId));
-    holdings?.listCopied().forEach(({ need }) => this.setCopy(need.callId, undefined));
+    holdings?.listRuns().forEach(({ spec: need }) => this.remove(need.callId));
+    holdings?.listBackedUp().forEach(({ spec: need }) => this.setBackup(need.callId, undefined));
   }
 
   /** A host that died took nothing off; its generations must not hold room for ever. */
@@ -97,7 +97,7 @@
       return;
     }
     this.checkedAt = now;
-    this.runs.forEach(({ endsAt, need }) => {
+    this.runs.forEach(({ expiresAt: endsAt, spec: need }) => {
       if (now > endsAt + OVERDUE_MS) {
         this.remove(need.callId);
       }
--- a/packages/routing/src/slow-upstreams.ts
+++ b/packages/routing/src/slow-upstreams.ts
@@ -1,4 +1,4 @@
-import type * as rooms from './upstream-room.js';
+import type * as rooms from './upstream-ledger.js';
 
 /** Below which share of the pool's median speed an upstream counts as slow. */
 const SLOW_SHARE = 0.5;
@@ -11,10 +11,10 @@
  * than by what they report: the rule of Sohail et al., "Reducing File Download Delay by QoS Driven
  * Parallelization of Resources" (2005), section 3.3.2, applied to new work only.
  */
-export function findSlow(all: readonly rooms.UpstreamRoom[]): Set<string> {
-  const judged = all.filter((r) => r.speed > 0 && r.generations.size >= MIN_GENERATIONS);
-  const speeds = judged.map((room) => room.speed).sort((a, b) => a - b);
+export function findSlowUpstreams(all: readonly rooms.UpstreamLedger[]): Set<string> {
+  const judged = all.filter((r) => r.tokensPerS > 0 && r.generations.size >= MIN_GENERATIONS);
+  const speeds = judged.map((room) => room.tokensPerS).sort((a, b) => a - b);
   const median = speeds[Math.floor(speeds.length / 2)] ?? 0;
-  const slow = judged.filter((room) => room.speed < SLOW_SHARE * median);
+  const slow = judged.filter((room) => room.tokensPerS < SLOW_SHARE * median);
   return new Set(slow.map((room) => room.upstreamId));
 }
--- a/packages/routing/src/upstream-room.ts
+++ b/packages/routing/src/upstream-ledger.ts
@@ -13,12 +13,12 @@
 const SPEED_WEIGHT = 0.2;
 
 /** The account of one upstream: what runs there, what it reported, how it is expected to fill. */
-export class UpstreamRoom {
+export class UpstreamLedger {
   public readonly generations = new Map<string, liveGenerations.LiveGeneration>();
   public isLeaving = false;
   public report: schemas.LoadReport | undefined;
   /** Tokens a second and generation, smoothed; 0 while unknown. */
-  public speed = 0;
+  public tokensPerS = 0;
   private readonly forecast = new forecasts.MemoryForecast();
   private history: { readonly at: number; readonly held: number }[] = [];
   private unaccounted = 0;
@@ -39,7 +39,7 @@
   /** Adds a generation to the account. */
   public add(generation: liveGenerations.LiveGeneration): void {
     this.generations.set(generation.facts.generation, generation);
-    this.forecast.add(generation.facts.generation, new forecasts.Expected(generation));
+    this.forecast.add(generation.facts.generation, new forecasts.ExpectedMemory(generation));
     this.interactiveHeld += getInteractiveTokens(generation);
   }
 
@@ -63,7 +63,7 @@
     this.forecast.rebuild((id) => {
       const generation = this.generations.get(id)!;
       this.interactiveHeld += getInteractiveTokens(generation);
-      return generation.getLikelyTokens(now, this.speed);
+      return generation.estimateTokens(now, this.tokensPerS);
     });
   }
 
@@ -71,7 +71,7 @@
    * Takes a report. It tells of a moment that is past, so only what it shows beyond this account's own
    * view of that moment counts: work of daemons that decided alone, or of a former owner.
    */
-  public takeReport(report: schemas.LoadReport, now: number): void {
+  public applyReport(report: schemas.LoadReport, now: number): void {
     if (this.report !== undefined && report.at <= this.report.at) {
       return;
     }
@@ -81,22 +81,22 @@
   }
 
   /** Keeps what is held now, for reports to come. */
-  public remember(now: number): void {
+  public recordSample(now: number): void {
     this.interactivePeak = Math.max(this.interactiveHeld, this.interactivePeak * PEAK_DECAY);
     this.history = this.history.filter((sample) => now - sample.at < HISTORY_MS);
-    this.history.push({ at: now, held: this.forecast.getHeld() });
+    this.history.push({ at: now, held: this.forecast.getMeanTokens() });
   }
 
   /** Notes how fast its generations moved on. */
-  public noteSpeed(tokensPerSecond: number): void {
-    this.speed =
-      this.speed === 0
+  public recordSpeed(tokensPerSecond: number): void {
+    this.tokensPerS =
+      this.tokensPerS === 0
         ? tokensPerSecond
-        : this.speed + SPEED_WEIGHT * (tokensPerSecond - this.speed);
+        : this.tokensPerS + SPEED_WEIGHT * (tokensPerSecond - this.tokensPerS);
   }
 
   /** The forecast share of memory if a generation joins. */
-  public getPressure(quantile: number, joining?: forecasts.Expected): number {
+  public getPressure(quantile: number, joining?: forecasts.ExpectedMemory): number {
     return this.forecast.getPressure(this.getCapacity(), quantile, joining);
   }
 
@@ -109,21 +109,21 @@
    * The share of memory to keep free for interactive work that is yet to come: what it lately held at most,
    * less what it holds now. Drafts that filled this too would be preempted by the next few checks.
    */
-  public getReserve(): number {
+  public getInteractiveReserve(): number {
     const missing = this.interactivePeak - this.interactiveHeld;
     return Math.max(0, missing) / this.getCapacity();
   }
 
   /** The mean memory in use now, in tokens. */
-  public getHeld(): number {
-    return this.forecast.getHeld() + this.unaccounted;
+  public getUsedTokens(): number {
+    return this.forecast.getMeanTokens() + this.unaccounted;
   }
 
   private getMostHeldSince(then: number): number {
     const before = this.history.filter((sample) => sample.at <= then).at(-1);
     const since = this.history.filter((sample) => sample.at > then);
     const held = [before, ...since].map((sample) => sample?.held ?? 0);
-    return Math.max(this.forecast.getHeld(), ...held);
+    return Math.max(this.forecast.getMeanTokens(), ...held);
   }
 }
 
--- a/packages/routing/src/upstream-load.ts
+++ b/packages/routing/src/upstream-load.ts
@@ -22,7 +22,7 @@
   private failedAt = 0;
 
   /** Counts a call until the function that it gives is called. */
-  public enter(tokens: number): () => void {
+  public trackCall(tokens: number): () => void {
     let isOpen = true;
     this.calls += 1;
     this.tokens += tokens;
@@ -36,19 +36,19 @@
   }
 
   /** Takes what the upstream said; this host's own calls are known exactly, so only the others' are kept. */
-  public takeReport(report: ReportedLoad, now: number): void {
+  public applyReport(report: ReportedLoad, now: number): void {
     this.othersCalls = Math.max(0, report.running + report.waiting - this.calls);
     this.reportedAt = now;
   }
 
   /** Notes a call that the upstream failed. */
-  public noteFailure(now: number): void {
+  public recordFailure(now: number): void {
     this.failures = this.getFailures(now) + 1;
     this.failedAt = now;
   }
 
   /** Calls that are probably under way there, of all hosts. */
-  public getBusy(now: number): number {
+  public getActiveCalls(now: number): number {
     const isFresh = now - this.reportedAt < REPORT_LIFE_MS;
     return this.calls + (isFresh ? this.othersCalls : 0);
   }
--- a/packages/routing/src/upstream-choice.ts
+++ b/packages/routing/src/upstream-selector.ts
@@ -3,7 +3,7 @@
 import type * as affinities from './prefix-affinity.js';
 import * as slowUpstreams from './slow-upstreams.js';
 import type * as types from './types.js';
-import type * as rooms from './upstream-room.js';
+import type * as rooms from './upstream-ledger.js';
 
 /** How much fuller an upstream may be and still be chosen for the prefix that it holds. */
 const PREFIX_SLACK = 0.15;
@@ -12,43 +12,43 @@
 const SLOW_PENALTY = 0.5;
 
 /** What was chosen, and why. */
-export interface Choice {
-  readonly room: rooms.UpstreamRoom;
+export interface UpstreamSelection {
+  readonly room: rooms.UpstreamLedger;
   readonly reason: types.GrantReason;
   readonly pressure: number;
 }
 
 /** Chooses an upstream for a generation, or nothing when it should wait. */
-export interface UpstreamChoice {
-  choose(
-    candidates: readonly rooms.UpstreamRoom[],
+export interface UpstreamSelector {
+  select(
+    candidates: readonly rooms.UpstreamLedger[],
     joining: liveGenerations.LiveGeneration,
     prefix: string,
     now: number,
-  ): Choice | undefined;
+  ): UpstreamSelection | undefined;
 }
 
 /** Chooses the upstream whose memory is least likely to overflow, and none when all are too likely to. */
-export class OverflowAwareChoice implements UpstreamChoice {
+export class OverflowAwareSelector implements UpstreamSelector {
   public constructor(
     private readonly quantile: number,
     private readonly affinity: affinities.PrefixAffinity,
   ) {}
 
-  public choose(
-    candidates: readonly rooms.UpstreamRoom[],
+  public select(
+    candidates: readonly rooms.UpstreamLedger[],
     joining: liveGenerations.LiveGeneration,
     prefix: string,
     now: number,
-  ): Choice | undefined {
+  ): UpstreamSelection | undefined {
     const idle = candidates.find((room) => room.generations.size === 0);
-    const slow = slowUpstreams.findSlow(candidates);
-    const expected = new forecasts.Expected(joining);
+    const slow = slowUpstreams.findSlowUpstreams(candidates);
+    const expected = new forecasts.ExpectedMemory(joining);
     const isInteractive = joining.facts.workClass === 'interactive';
     const scored = candidates
       .map((room) => {
         // Drafts leave free what interactive work lately used.
-        const reserve = isInteractive ? 0 : room.getReserve();
+        const reserve = isInteractive ? 0 : room.getInteractiveReserve();
         return { room, pressure: room.getPressure(this.quantile, expected) + reserve };
       })
       .filter((item) => item.pressure <= 1)
--- a/packages/routing/tests/closed-engines.test.ts
+++ b/packages/routing/tests/closed-engines.test.ts
@@ -25,9 +25,13 @@
   ledger.setEngines([createEngine('e-1'), createEngine('e-2', true)]);
   t.match(ledger.place(createNeed('c1'), 0), { engineId: 'e-1', copyAt: undefined });
   ledger.setEngines([createEngine('e-2', true)]);
-  t.equal(ledger.renewCopy('c1', 'e-1', [], 100), undefined, 'no taker when its engine leaves');
+  t.equal(
+    ledger.reassignBackup('c1', 'e-1', [], 100),
+    undefined,
+    'no taker when its engine leaves',
+  );
   ledger.setEngines([createEngine('e-2')]);
-  t.equal(ledger.renewCopy('c1', 'e-1', [], 100), 'e-2', 'but one when it is open again');
+  t.equal(ledger.reassignBackup('c1', 'e-1', [], 100), 'e-2', 'but one when it is open again');
 });
 
 // Guards against a run that counts as kept at a copy from which it may not go on.
@@ -36,9 +40,9 @@
   const engines = [createEngine('e-1'), createEngine('e-2')];
   ledger.setEngines(engines);
   const { copyAt = '', engineId = '' } = ledger.place(createNeed('c1'), 0) ?? {};
-  t.ok(ledger.hasCopy('c1'));
+  t.ok(ledger.hasBackup('c1'));
   ledger.setEngines(engines.map((item) => ({ ...item, isClosed: item.engineId === copyAt })));
-  t.notOk(ledger.hasCopy('c1'));
+  t.notOk(ledger.hasBackup('c1'));
   ledger.setEngines(engines.map((item) => ({ ...item, isClosed: item.engineId === engineId })));
-  t.ok(ledger.hasCopy('c1'), 'that its own engine is closed makes no difference');
+  t.ok(ledger.hasBackup('c1'), 'that its own engine is closed makes no difference');
 });
--- a/packages/routing/tests/cold-upstreams.test.ts
+++ b/packages/routing/tests/cold-upstreams.test.ts
@@ -1,7 +1,7 @@
 import * as tap from 'tap';
 import * as xoroshiro from 'pure-rand/generator/xoroshiro128plus';
 
-import * as coldShares from '../src/cold-share.js';
+import * as coldShares from '../src/cold-send-quota.js';
 import * as engineLedgers from '../src/engine-ledger.js';
 
 /** What one cold upstream declares, and what it bears: its rate half again, and five calls more in one second. */
@@ -86,7 +86,7 @@
     const rng = xoroshiro.xoroshiro128plus(hostCount);
     const shares = Array.from(
       { length: hostCount },
-      (_, i) => new coldShares.ColdShare(`host-${i}`, () => hostCount),
+      (_, i) => new coldShares.ColdSendQuota(`host-${i}`, () => hostCount),
     );
     const upstreams = Array.from({ length: 12 }, (_, i) => `u-${i}`);
     const sentAt = new Map(upstreams.map((upstreamId) => [upstreamId, [] as number[]]));
@@ -95,8 +95,8 @@
       shares.forEach((share) => {
         upstreams.forEach((upstreamId) => {
           const at = now + ((rng.next() >>> 0) % 100);
-          if (share.mayTake({ upstreamId, callsPerS: CALLS_PER_S }, at)) {
-            share.note(upstreamId, at);
+          if (share.canSend({ upstreamId, callsPerS: CALLS_PER_S }, at)) {
+            share.recordSend(upstreamId, at);
             sentAt.get(upstreamId)!.push(at);
           }
         });
@@ -112,16 +112,16 @@
 void tap.default.test(
   'hosts that were told no number send nothing to cold upstreams',
   async (t) => {
-    const share = new coldShares.ColdShare('host-1', () => undefined);
-    t.notOk(share.mayTake({ upstreamId: 'u', callsPerS: 1_000 }, 0));
+    const share = new coldShares.ColdSendQuota('host-1', () => undefined);
+    t.notOk(share.canSend({ upstreamId: 'u', callsPerS: 1_000 }, 0));
   },
 );
 
 // Guards against an account that grows with each upstream that ever was cold.
 void tap.default.test('a host forgets sends that no longer count', async (t) => {
-  const share = new coldShares.ColdShare('host', () => 16);
+  const share = new coldShares.ColdSendQuota('host', () => 16);
   for (let i = 0; i < 100; i += 1) {
-    share.note(`u-${i}`, i * 500);
+    share.recordSend(`u-${i}`, i * 500);
   }
   t.ok(share.size <= 3, `${share.size} accounts`);
 });
@@ -130,10 +130,10 @@
 void tap.default.test('hosts that were told of few others take a small share', async (t) => {
   const shares = Array.from(
     { length: 350 },
-    (_, i) => new coldShares.ColdShare(`host-${i}`, () => i + 1),
+    (_, i) => new coldShares.ColdSendQuota(`host-${i}`, () => i + 1),
   );
   const takers = shares.filter((share) =>
-    share.mayTake({ upstreamId: 'u', callsPerS: CALLS_PER_S }, 0),
+    share.canSend({ upstreamId: 'u', callsPerS: CALLS_PER_S }, 0),
   );
   t.ok(takers.length <= BEARABLE, `${takers.length} of 350 send at once`);
 });
--- a/packages/routing/tests/engine-ledger.test.ts
+++ b/packages/routing/tests/engine-ledger.test.ts
@@ -4,7 +4,10 @@
 /** The memory of an engine, in tokens, as the engines' sheets state it. */
 const MEMORY = 34_000;
 
-function createNeed(callId: string, more: Partial<routing.PlaceNeed> = {}): routing.PlaceNeed {
+function createNeed(
+  callId: string,
+  more: Partial<routing.PlacementSpec> = {},
+): routing.PlacementSpec {
   return {
     callId,
     availabilityZone: 'a',
@@ -107,12 +110,16 @@
   // the engine of its former copy. Entered again it would hold room for its whole time, up to 39 s.
   const ledger = createLedger(3);
   const placed = ledger.place(createNeed('c1'), 0)!;
-  const renewed = ledger.renewCopy('c1', placed.engineId, [], 1_000);
+  const renewed = ledger.reassignBackup('c1', placed.engineId, [], 1_000);
   t.ok(renewed !== undefined && renewed !== placed.engineId, 'another engine keeps it');
-  t.equal(ledger.renewCopy('c1', 'e9', [], 1_000), undefined, 'not of a run that is elsewhere');
+  t.equal(
+    ledger.reassignBackup('c1', 'e9', [], 1_000),
+    undefined,
+    'not of a run that is elsewhere',
+  );
   ledger.release('c1', false, 2_000);
   t.equal(
-    ledger.renewCopy('c1', placed.engineId, [], 2_000),
+    ledger.reassignBackup('c1', placed.engineId, [], 2_000),
     undefined,
     'nor of one that has ended',
   );
@@ -130,10 +137,10 @@
   const now = runs.length * 300;
   const leaving = runs.filter(({ placed }) => placed?.engineId === 'e0').slice(-3);
   t.ok(ledger.getSummary(now).share > 0.62, 'no copies are kept at this load');
-  const holders = leaving.map(({ callId }) => ledger.renewCopy(callId, 'e0', [], now));
+  const holders = leaving.map(({ callId }) => ledger.reassignBackup(callId, 'e0', [], now));
   t.notOk(holders.includes(undefined), 'none is given up');
   t.ok(new Set(holders).size >= 2, 'they do not all run to one engine');
-  const second = ledger.renewCopy(leaving[0]!.callId, 'e0', [holders[0]!], now);
+  const second = ledger.reassignBackup(leaving[0]!.callId, 'e0', [holders[0]!], now);
   t.not(second, holders[0], 'another than the one without room');
 });
 
@@ -143,7 +150,7 @@
   const large = { promptTokens: 29_000, answerTokens: 400 };
   ledger.place(createNeed('c1', { ...large, fixedEngineId: 'e0' }), 0);
   ledger.place(createNeed('c2', { ...large, fixedEngineId: 'e1' }), 0);
-  t.equal(ledger.renewCopy('c1', 'e0', [], 100), undefined);
+  t.equal(ledger.reassignBackup('c1', 'e0', [], 100), undefined);
 });
 
 void tap.default.test(
@@ -217,8 +224,8 @@
   enter('c2', 'e0', 3_000);
   enter('c3', 'e2', 3_200);
   enter('c4', 'e3', 3_200);
-  const first = ledger.renewCopy('c1', 'e0', [], 0);
-  const second = ledger.renewCopy('c2', 'e0', [], 0);
+  const first = ledger.reassignBackup('c1', 'e0', [], 0);
+  const second = ledger.reassignBackup('c2', 'e0', [], 0);
   t.equal(first, 'e1', 'the emptiest takes the first');
   t.not(second, 'e1', 'and another the second');
 });
@@ -235,13 +242,13 @@
   ledger.place(createNeed('there', { fixedEngineId: 'e0', wantsCopy: false }), 0);
   ledger.place(createNeed('copied', { fixedEngineId: 'e1', wantsCopy: true }), 0);
   ledger.release('failed', true, 0);
-  t.ok(ledger.hasCopy('copied'));
+  t.ok(ledger.hasBackup('copied'));
   ledger.setEngines(list(1_000));
   t.equal(ledger.getSummary(0).running, 2, 'the same start changes nothing');
-  t.ok(ledger.hasCopy('copied'));
+  t.ok(ledger.hasBackup('copied'));
   ledger.setEngines(list(2_000));
   t.equal(ledger.getSummary(0).running, 1, 'its runs are gone');
-  t.notOk(ledger.hasCopy('copied'), 'and the copies that it had');
+  t.notOk(ledger.hasBackup('copied'), 'and the copies that it had');
   t.equal(ledger.place(createNeed('next', { wantsCopy: false }), 0)?.engineId, 'e0');
 });
 
@@ -251,7 +258,7 @@
   const ledger = createLedger(2);
   let n = 0;
   while (ledger.place(createNeed(`c${n}`, { wantsCopy: false }), 0) !== undefined) {
-    ledger.noteBegun(`c${n}`, 0);
+    ledger.recordFirstEvent(`c${n}`, 0);
     n += 1;
   }
   const check = { promptTokens: 2_200, answerTokens: 13, wantsCopy: false };
--- a/packages/routing/tests/engine-holdings.test.ts
+++ b/packages/routing/tests/engine-occupancy.test.ts
@@ -18,7 +18,7 @@
 
 function createRun(callId: string, now: number, random: () => number): routing.PlacedRun {
   const pick = () => ENGINES[Math.floor(random() * ENGINES.length)]!;
-  const need: routing.PlaceNeed = {
+  const need: routing.PlacementSpec = {
     callId,
     availabilityZone: 'a',
     promptTokens: Math.floor(random() * 5_000),
@@ -31,7 +31,14 @@
   };
   const copyAt = random() < 0.5 ? pick() : undefined;
   const endsAt = now + need.leftMs;
-  return { need, startedAt: now, endsAt, engineId: pick(), zone: 'a', copyAt };
+  return {
+    spec: need,
+    startedAt: now,
+    expiresAt: endsAt,
+    engineId: pick(),
+    zone: 'a',
+    backupEngineId: copyAt,
+  };
 }
 
 /** What an engine holds, added up from every run. */
@@ -42,8 +49,11 @@
   horizonMs: number,
 ): number {
   return [...runs]
-    .filter((run) => run.engineId === engineId || run.copyAt === engineId)
-    .reduce((sum, run) => sum + routing.getSizeAhead(run.need, now - run.startedAt, horizonMs), 0);
+    .filter((run) => run.engineId === engineId || run.backupEngineId === engineId)
+    .reduce(
+      (sum, run) => sum + routing.forecastTokens(run.spec, now - run.startedAt, horizonMs),
+      0,
+    );
 }
 
 void tap.default.test('the forecast kept by engine is the sum over all runs', async (t) => {
@@ -51,7 +61,7 @@
   // outlives it. Were one of these missed, an engine would look empty or full for seconds and be overfilled or idle.
   SEEDS.forEach((seed) => {
     const random = createRandom(seed);
-    const account = new routing.RunAccount();
+    const account = new routing.RunRegistry();
     const runs = new Map<string, routing.PlacedRun>();
     const apart: number[] = [];
     for (let n = 0, now = 0; n < 2_000; n += 1, now += random() * 60) {
@@ -65,11 +75,11 @@
         runs.delete(callId);
         account.remove(callId);
       } else if (what < 0.8) {
-        account.setCopy(callId, random() < 0.5 ? undefined : 'e1');
+        account.setBackup(callId, random() < 0.5 ? undefined : 'e1');
       }
       for (const engineId of ENGINES) {
         for (const horizonMs of HORIZONS_MS) {
-          const kept = account.getHoldings(engineId).getHeld(now, horizonMs);
+          const kept = account.getOccupancy(engineId).getForecastTokens(now, horizonMs);
           apart.push(Math.abs(kept - addUp(runs.values(), engineId, now, horizonMs)));
         }
       }
@@ -82,26 +92,26 @@
 
 void tap.default.test('an engine that started again is emptied, others keep theirs', async (t) => {
   // Its runs and the copies that it kept are gone with its process; copies that others keep of them go with the runs.
-  const account = new routing.RunAccount();
+  const account = new routing.RunRegistry();
   const random = createRandom(9);
-  account.set({ ...createRun('there', 0, random), engineId: 'e0', copyAt: 'e1' });
-  account.set({ ...createRun('copied', 0, random), engineId: 'e1', copyAt: 'e0' });
-  account.forgetWorkAt('e0');
-  t.ok(account.getHoldings('e0').isEmpty);
-  t.equal(account.getHoldings('e1').running, 1);
-  t.equal(account.getHoldings('e1').listCopied().length, 0);
-  t.equal(account.find('copied')?.copyAt, undefined);
+  account.set({ ...createRun('there', 0, random), engineId: 'e0', backupEngineId: 'e1' });
+  account.set({ ...createRun('copied', 0, random), engineId: 'e1', backupEngineId: 'e0' });
+  account.removeWorkAt('e0');
+  t.ok(account.getOccupancy('e0').isEmpty);
+  t.equal(account.getOccupancy('e1').running, 1);
+  t.equal(account.getOccupancy('e1').listBackedUp().length, 0);
+  t.equal(account.find('copied')?.backupEngineId, undefined);
 });
 
 void tap.default.test('a generation that nobody took off is dropped after its time', async (t) => {
   // Its host died. It may hold room for two seconds more than its caller waits, and not for ever.
-  const account = new routing.RunAccount();
+  const account = new routing.RunRegistry();
   account.set({ ...createRun('c1', 0, createRandom(3)), engineId: 'e0' });
   account.dropOverdue(40_900);
   t.equal(account.size, 1);
   account.dropOverdue(41_300);
   t.equal(account.size, 0);
-  t.equal(account.getHoldings('e0').running, 0);
+  t.equal(account.getOccupancy('e0').running, 0);
 });
 
 void tap.default.test(
@@ -118,7 +128,7 @@
         availabilityZone: 'a',
       }));
     ledger.setEngines(list('e0', 'e1'));
-    const { need } = createRun('c1', 0, createRandom(4));
+    const { spec: need } = createRun('c1', 0, createRandom(4));
     ledger.place({ ...need, fixedEngineId: 'e0' }, 0);
     const before = ledger.getSummary(0).share;
     ledger.setEngines(list('e1'));
--- a/packages/routing/tests/length-distribution.test.ts
+++ b/packages/routing/tests/length-distribution.test.ts
@@ -4,8 +4,8 @@
 function learn(distribution: routing.LengthDistribution, lengths: readonly number[]): void {
   lengths.forEach((length) => {
     const bucket = routing.getBucket(length);
-    distribution.pass(0, bucket);
-    distribution.end(bucket);
+    distribution.recordProgress(0, bucket);
+    distribution.recordEnd(bucket);
   });
 }
 
@@ -22,7 +22,7 @@
     { from: 300, to: 4_000, low: 0, high: 0.05 },
   ];
   cases.forEach(({ from, to, low, high }) => {
-    const chance = distribution.getChance(from, to);
+    const chance = distribution.getSurvival(from, to);
     t.ok(chance >= low && chance <= high, `from ${from} to ${to}: ${chance.toFixed(3)}`);
   });
 });
@@ -36,10 +36,10 @@
   learn(honest, short);
   learn(naive, short);
   for (let i = 0; i < 50; i += 1) {
-    honest.pass(0, routing.getBucket(1_500));
+    honest.recordProgress(0, routing.getBucket(1_500));
   }
-  t.ok(naive.getChance(0, 1_000) < 0.1);
-  const chance = honest.getChance(0, 1_000);
+  t.ok(naive.getSurvival(0, 1_000) < 0.1);
+  const chance = honest.getSurvival(0, 1_000);
   t.ok(chance > 0.4 && chance < 0.6, chance.toFixed(3));
 });
 
@@ -53,5 +53,5 @@
     distribution,
     Array.from({ length: 6_000 }, () => 3_000),
   );
-  t.ok(distribution.getChance(0, 1_000) > 0.9);
+  t.ok(distribution.getSurvival(0, 1_000) > 0.9);
 });
--- a/packages/routing/tests/load-choice.test.ts
+++ b/packages/routing/tests/load-choice.test.ts
@@ -37,7 +37,7 @@
     const chosen: routing.EngineCandidate[] = [];
     for (let i = 0; i < 20; i += 1) {
       const engine = routing.chooseByMemory(engines, 0, random)!;
-      engine.load.enter(DRAFT_TOKENS);
+      engine.load.trackCall(DRAFT_TOKENS);
       chosen.push(engine);
     }
     t.ok(
@@ -54,7 +54,7 @@
   async (t) => {
     // Only its own load is known. Where that alone fills the zone's engines, another zone is the better bet.
     const engines = createEngines(6, 2);
-    engines.slice(0, 2).forEach(({ load }) => load.enter(MEMORY));
+    engines.slice(0, 2).forEach(({ load }) => load.trackCall(MEMORY));
     t.notOk(routing.chooseByMemory(engines, 0, createRandom(5))?.isNear);
     t.ok(routing.chooseByMemory(createEngines(6, 0), 0, createRandom(5)), 'nor where it has none');
   },
--- a/packages/routing/tests/hand-over-plan.test.ts
+++ b/packages/routing/tests/migration-scheduler.test.ts
@@ -8,7 +8,7 @@
 /** From the word that an engine leaves until it is gone, in milliseconds. */
 const NOTICE_MS = 1_600;
 
-function createNeed(callId: string, promptTokens: number): routing.PlaceNeed {
+function createNeed(callId: string, promptTokens: number): routing.PlacementSpec {
   return {
     callId,
     availabilityZone: 'a',
@@ -29,10 +29,10 @@
 function createLeaving(stay: readonly routing.LedgerEngine[]) {
   const ledger = new routing.EngineLedger();
   ledger.setEngines([createEngine('leaves', 'a'), ...stay]);
-  const plan = new routing.HandOverPlan(ledger);
+  const plan = new routing.MigrationScheduler(ledger);
   const sizes = [5_500, 2_000, 4_500, 2_500, 5_000, 3_000, 3_500, 4_000];
   const offer = (callId: string, excluded: readonly string[] = []) =>
-    plan.offer({ callId, engineId: 'leaves', excluded, endsAt: Infinity });
+    plan.offer({ callId, engineId: 'leaves', excluded, expiresAt: Infinity });
   sizes.forEach((promptTokens, n) => {
     const need = { ...createNeed(`c${n}`, promptTokens), fixedEngineId: 'leaves' };
     ledger.place(need, 0);
@@ -63,15 +63,15 @@
         ledger.place({ ...createNeed(callId, 0), fixedEngineId: takerId }, now);
         moving = undefined;
       }
-      const settled = plan.serve(now);
+      const settled = plan.dispatch(now);
       t.ok(settled.length <= 1, 'one at a time');
       const [next] = settled;
-      if (next?.takerId !== undefined) {
+      if (next?.targetEngineId !== undefined) {
         const { callId } = next.run;
         const tokens = sizes[Number(callId.slice(1))]! + 170;
-        const msPerToken = next.takerId === 'e1' ? NEAR_MS_PER_TOKEN : FAR_MS_PER_TOKEN;
+        const msPerToken = next.targetEngineId === 'e1' ? NEAR_MS_PER_TOKEN : FAR_MS_PER_TOKEN;
         busyUntil = now + tokens * msPerToken + 20;
-        moving = { callId, takerId: next.takerId };
+        moving = { callId, takerId: next.targetEngineId };
       }
     }
     t.ok(saved.length >= 6, `${saved.length} of 8 are handed over`);
@@ -86,7 +86,7 @@
     // Between zones the way takes twice as long, and with it every run behind it in the queue.
     const { ledger, plan } = createLeaving([createEngine('near', 'a'), createEngine('far', 'b')]);
     ledger.place({ ...createNeed('other', 5_000), fixedEngineId: 'near' }, 0);
-    t.equal(plan.serve(10)[0]?.takerId, 'near');
+    t.equal(plan.dispatch(10)[0]?.targetEngineId, 'near');
   },
 );
 
@@ -98,17 +98,17 @@
   ledger.place({ ...need, fixedEngineId: 'leaves' }, 0);
   ledger.place({ ...createNeed('other', 3_000), fixedEngineId: 'near' }, 0);
   ledger.setEngines(stay);
-  const plan = new routing.HandOverPlan(ledger);
-  plan.offer({ callId: 'c1', engineId: 'leaves', excluded: [], endsAt: Infinity });
-  t.equal(plan.serve(10)[0]?.takerId, 'near');
+  const plan = new routing.MigrationScheduler(ledger);
+  plan.offer({ callId: 'c1', engineId: 'leaves', excluded: [], expiresAt: Infinity });
+  t.equal(plan.dispatch(10)[0]?.targetEngineId, 'near');
 });
 
 void tap.default.test(
   'a run that another engine keeps a copy of leaves the link to the others',
   async (t) => {
     const { ledger, plan } = createLeaving([createEngine('e1', 'a')]);
-    ledger.setCopy('c1', 'e1');
-    t.equal(plan.serve(10)[0]?.run.callId, 'c3', 'the smallest without a copy');
+    ledger.setBackup('c1', 'e1');
+    t.equal(plan.dispatch(10)[0]?.run.callId, 'c3', 'the smallest without a copy');
   },
 );
 
@@ -119,7 +119,7 @@
     const need = { ...createNeed('ending', 1_000), answerTokens: 200, fixedEngineId: 'leaves' };
     ledger.place(need, 0);
     offer('ending');
-    t.equal(plan.serve(10)[0]?.run.callId, 'c1');
+    t.equal(plan.dispatch(10)[0]?.run.callId, 'c1');
   },
 );
 
@@ -128,9 +128,9 @@
   async (t) => {
     // The first run's host is killed in the middle of the hand-over and never tells how it went.
     const { plan } = createLeaving([createEngine('e1', 'a')]);
-    t.equal(plan.serve(10).length, 1);
-    t.equal(plan.serve(500).length, 0, 'its turn stands');
-    t.equal(plan.serve(1_100).length, 1, 'and ends');
+    t.equal(plan.dispatch(10).length, 1);
+    t.equal(plan.dispatch(500).length, 0, 'its turn stands');
+    t.equal(plan.dispatch(1_100).length, 1, 'and ends');
   },
 );
 
@@ -138,10 +138,10 @@
   'a taker without room is asked once, and another run gets its turn',
   async (t) => {
     const { offer, plan } = createLeaving([createEngine('e1', 'a')]);
-    const [first] = plan.serve(10);
-    plan.endTurn(first!.run.callId);
+    const [first] = plan.dispatch(10);
+    plan.endMigration(first!.run.callId);
     offer(first!.run.callId, ['e1']);
-    t.equal(plan.serve(20)[0]?.run.callId, 'c3', 'the next smallest');
+    t.equal(plan.dispatch(20)[0]?.run.callId, 'c3', 'the next smallest');
   },
 );
 
@@ -150,12 +150,12 @@
   async (t) => {
     const ledger = new routing.EngineLedger();
     ledger.setEngines([createEngine('e1', 'a'), createEngine('e2', 'a')]);
-    const plan = new routing.HandOverPlan(ledger);
+    const plan = new routing.MigrationScheduler(ledger);
     ledger.place({ ...createNeed('c1', 3_000), fixedEngineId: 'e1' }, 0);
-    plan.offer({ callId: 'c1', engineId: 'e1', excluded: [], endsAt: 100 });
-    t.equal(plan.serve(99).length, 0);
+    plan.offer({ callId: 'c1', engineId: 'e1', excluded: [], expiresAt: 100 });
+    t.equal(plan.dispatch(99).length, 0);
     t.same(
-      plan.serve(100).map(({ takerId }) => takerId),
+      plan.dispatch(100).map(({ targetEngineId: takerId }) => takerId),
       [undefined],
     );
     t.equal(plan.withdraw('c1'), undefined, 'nobody waits any more');
@@ -165,11 +165,11 @@
 void tap.default.test('a run whose turn came to nothing has another', async (t) => {
   // Its host did not know the taker yet, or its word was lost. Taken for copied, the run would be lost with its engine.
   const { offer, plan } = createLeaving([createEngine('e1', 'a')]);
-  const [first] = plan.serve(10);
+  const [first] = plan.dispatch(10);
   const { callId } = first!.run;
   offer(callId);
-  t.equal(plan.serve(500).length, 0);
-  t.equal(plan.serve(1_100)[0]?.run.callId, callId);
+  t.equal(plan.dispatch(500).length, 0);
+  t.equal(plan.dispatch(1_100)[0]?.run.callId, callId);
 });
 
 void tap.default.test('a run that was taken back is not handed over', async (t) => {
@@ -177,7 +177,7 @@
   const { plan, sizes } = createLeaving([createEngine('e1', 'a')]);
   const smallest = `c${sizes.indexOf(Math.min(...sizes))}`;
   plan.withdraw(smallest);
-  t.not(plan.serve(10)[0]?.run.callId, smallest);
+  t.not(plan.dispatch(10)[0]?.run.callId, smallest);
 });
 
 void tap.default.test(
@@ -187,12 +187,12 @@
     // looked at first, the hosts behind it would get no answer in time, and go without the leader for half a second.
     const ledger = new routing.EngineLedger();
     ledger.setEngines([createEngine('e1', 'a')]);
-    const plan = new routing.HandOverPlan(ledger);
-    plan.offer({ callId: 'c1', engineId: 'e1', excluded: [], endsAt: 100 });
-    plan.offer({ callId: 'c2', engineId: 'e1', excluded: [], endsAt: 150 });
-    plan.offer({ callId: 'c1', engineId: 'e1', excluded: [], endsAt: 300 });
+    const plan = new routing.MigrationScheduler(ledger);
+    plan.offer({ callId: 'c1', engineId: 'e1', excluded: [], expiresAt: 100 });
+    plan.offer({ callId: 'c2', engineId: 'e1', excluded: [], expiresAt: 150 });
+    plan.offer({ callId: 'c1', engineId: 'e1', excluded: [], expiresAt: 300 });
     t.same(
-      plan.serve(160).map(({ run }) => run.callId),
+      plan.dispatch(160).map(({ run }) => run.callId),
       ['c2'],
     );
   },
--- a/packages/routing/tests/place-cost.test.ts
+++ b/packages/routing/tests/placement-cost.test.ts
@@ -6,7 +6,7 @@
   public tries = 0;
 
   public override place(
-    need: routing.PlaceNeed,
+    need: routing.PlacementSpec,
     now: number,
     mayWait = false,
   ): routing.Placement | undefined {
@@ -15,7 +15,11 @@
   }
 }
 
-function createNeed(callId: string, promptTokens: number, answerTokens = 900): routing.PlaceNeed {
+function createNeed(
+  callId: string,
+  promptTokens: number,
+  answerTokens = 900,
+): routing.PlacementSpec {
   return {
     callId,
     availabilityZone: 'a',
@@ -32,29 +36,29 @@
   const ledger = new CountingLedger();
   ledger.setEngines([{ engineId: 'e0', memoryTokens: 20_000, slots: 24, availabilityZone: 'a' }]);
   ledger.place(createNeed('old', 15_000), 0);
-  ledger.noteBegun('old', 0);
+  ledger.recordFirstEvent('old', 0);
   ledger.tries = 0;
   return ledger;
 }
 
 function queue(
-  queued: routing.PlaceQueue,
-  need: routing.PlaceNeed,
+  queued: routing.PlacementQueue,
+  need: routing.PlacementSpec,
   endsAt: number,
   dueAt = 5_000,
 ): void {
-  queued.add({ need, dueAt, rank: 1, endsAt });
+  queued.add({ spec: need, dueAt, priority: 1, expiresAt: endsAt });
 }
 
 void tap.default.test('hundreds that wait cost no more than one', async (t) => {
   // An engine leaves at a busy moment, and 500 drafts wait for room. Each look at the queue used to try each of them at
   // each engine; at 50 looks a second and 600 engines the leader would do nothing else and answer nobody.
   const ledger = createFullLedger();
-  const waiting = new routing.PlaceQueue(ledger);
+  const waiting = new routing.PlacementQueue(ledger);
   for (let i = 0; i < 500; i += 1) {
     queue(waiting, createNeed(`c${i}`, 4_000), 1_000);
   }
-  t.same(waiting.serve(100), []);
+  t.same(waiting.dispatch(100), []);
   t.equal(ledger.tries, 1, 'one look at the engines says it for all of them');
   t.equal(waiting.size, 500, 'and all go on waiting');
 });
@@ -63,14 +67,14 @@
   // The first finds no room. A smaller draft fits, a check fits, one that runs already is entered, and one whose wait is
   // over gets its answer.
   const ledger = createFullLedger();
-  const waiting = new routing.PlaceQueue(ledger);
+  const waiting = new routing.PlacementQueue(ledger);
   queue(waiting, createNeed('large', 6_000), 1_000, 1_000);
   queue(waiting, createNeed('larger', 7_000), 90, 1_500);
   queue(waiting, createNeed('small', 1_200, 400), 1_000, 2_000);
   queue(waiting, createNeed('check', 800, 10), 1_000, 3_000);
   queue(waiting, { ...createNeed('runs', 6_500), fixedEngineId: 'e0' }, 1_000, 4_000);
-  const settled = waiting.serve(100);
-  const placed = new Map(settled.map(({ queued, placed: at }) => [queued.need.callId, at]));
+  const settled = waiting.dispatch(100);
+  const placed = new Map(settled.map(({ queued, placed: at }) => [queued.spec.callId, at]));
   t.ok(placed.get('small'), 'the smaller draft is placed');
   t.ok(placed.get('check'), 'so is the check');
   t.ok(placed.get('runs'), 'what runs is entered');
@@ -82,11 +86,11 @@
   // It was refused by the only engine with room. Others of its size must still go there.
   const ledger = new CountingLedger();
   ledger.setEngines([{ engineId: 'e0', memoryTokens: 20_000, slots: 24, availabilityZone: 'a' }]);
-  const waiting = new routing.PlaceQueue(ledger);
+  const waiting = new routing.PlacementQueue(ledger);
   queue(waiting, { ...createNeed('refused', 4_000), excluded: ['e0'] }, 1_000, 1_000);
   queue(waiting, createNeed('other', 4_000), 1_000, 2_000);
-  const [settled] = waiting.serve(100);
-  t.equal(settled?.queued.need.callId, 'other');
+  const [settled] = waiting.dispatch(100);
+  t.equal(settled?.queued.spec.callId, 'other');
 });
 
 void tap.default.test('a draft without room does not keep a larger check from it', async (t) => {
@@ -97,12 +101,12 @@
   for (let i = 0; i < 10; i += 1) {
     ledger.place({ ...createNeed(`r${i}`, 1_200), fixedEngineId: 'e0' }, 0);
   }
-  const waiting = new routing.PlaceQueue(ledger);
+  const waiting = new routing.PlacementQueue(ledger);
   queue(waiting, createNeed('draft', 3_700), 1_000, 1_000);
   queue(waiting, createNeed('check', 4_000, 10), 1_000, 2_000);
-  const settled = waiting.serve(1);
+  const settled = waiting.dispatch(1);
   t.same(
-    settled.map(({ queued }) => queued.need.callId),
+    settled.map(({ queued }) => queued.spec.callId),
     ['check'],
   );
 });
--- a/packages/routing/tests/place-queue.test.ts
+++ b/packages/routing/tests/placement-queue.test.ts
@@ -8,7 +8,10 @@
 /** Within which the first event of a draft is due, in milliseconds. */
 const AIM_MS = 1_800;
 
-function createNeed(callId: string, more: Partial<routing.PlaceNeed> = {}): routing.PlaceNeed {
+function createNeed(
+  callId: string,
+  more: Partial<routing.PlacementSpec> = {},
+): routing.PlacementSpec {
   return {
     callId,
     availabilityZone: 'a',
@@ -36,7 +39,7 @@
   public readonly firstAt = new Map<string, number>();
   private readonly freeAt = new Map<string, number>();
 
-  public send({ engineId }: routing.Placement, need: routing.PlaceNeed, now: number): void {
+  public send({ engineId }: routing.Placement, need: routing.PlacementSpec, now: number): void {
     const from = Math.max(now, this.freeAt.get(engineId) ?? 0);
     const at = from + need.promptTokens / READS_PER_MS;
     this.freeAt.set(engineId, at);
@@ -56,13 +59,13 @@
     for (let n = 0; n < 20; n += 1) {
       const need = createNeed(`r${n}`);
       if (ledger.place(need, 0) !== undefined) {
-        ledger.noteBegun(need.callId, 0);
+        ledger.recordFirstEvent(need.callId, 0);
         running.push(need.callId);
       }
     }
     t.equal(ledger.place(createNeed('more'), 0), undefined, 'both are full');
     ledger.setEngines(listEngines('full-1', 'full-2', 'new'));
-    const queue = new routing.PlaceQueue(ledger);
+    const queue = new routing.PlacementQueue(ledger);
     const engines = new ReadingEngines();
     const dueAt = new Map<string, number>();
     const at = new Map<string, string>();
@@ -71,21 +74,26 @@
         const need = createNeed(`c${dueAt.size}`);
         if (dueAt.size < 8) {
           dueAt.set(need.callId, now + AIM_MS);
-          queue.add({ need, dueAt: now + AIM_MS, rank: 0, endsAt: now + 0.4 * AIM_MS });
+          queue.add({
+            spec: need,
+            dueAt: now + AIM_MS,
+            priority: 0,
+            expiresAt: now + 0.4 * AIM_MS,
+          });
         }
       }
       // After a while runs end, three a second.
       if (now >= 600 && now % 300 === 0) {
         ledger.release(running.shift()!, false, now);
       }
-      queue.serve(now).forEach(({ placed, queued }) => {
+      queue.dispatch(now).forEach(({ placed, queued }) => {
         t.ok(placed, 'nobody is refused');
-        engines.send(placed!, queued.need, now);
-        at.set(queued.need.callId, placed!.engineId);
+        engines.send(placed!, queued.spec, now);
+        at.set(queued.spec.callId, placed!.engineId);
       });
       engines.firstAt.forEach((firstAt, callId) => {
         if (firstAt <= now && at.has(callId)) {
-          ledger.noteBegun(callId, firstAt);
+          ledger.recordFirstEvent(callId, firstAt);
         }
       });
     }
@@ -98,17 +106,21 @@
 
 void tap.default.test('who is due first is placed first', async (t) => {
   const ledger = new routing.EngineLedger();
-  const queue = new routing.PlaceQueue(ledger);
-  const add = (callId: string, dueAt: number, more: Partial<routing.PlaceNeed> = {}, rank = 1) =>
-    queue.add({ need: createNeed(callId, more), dueAt, rank, endsAt: 5_000 });
+  const queue = new routing.PlacementQueue(ledger);
+  const add = (
+    callId: string,
+    dueAt: number,
+    more: Partial<routing.PlacementSpec> = {},
+    rank = 1,
+  ) => queue.add({ spec: createNeed(callId, more), dueAt, priority: rank, expiresAt: 5_000 });
   add('late', 300);
   add('late, high rank', 350, {}, 0);
   add('later', 2_500);
   add('long', 2_000, { promptTokens: 6_000 });
   add('short', 2_000, { promptTokens: 1_000 });
-  t.equal(queue.serve(900).length, 0, 'no engine is there');
+  t.equal(queue.dispatch(900).length, 0, 'no engine is there');
   ledger.setEngines(listEngines('e1', 'e2', 'e3', 'e4', 'e5'));
-  const order = queue.serve(1_000).map(({ queued }) => queued.need.callId);
+  const order = queue.dispatch(1_000).map(({ queued }) => queued.spec.callId);
   t.same(
     order,
     ['long', 'short', 'later', 'late, high rank', 'late'],
@@ -117,11 +129,11 @@
 });
 
 void tap.default.test('who cannot be placed is told when its wait is over', async (t) => {
-  const queue = new routing.PlaceQueue(new routing.EngineLedger());
-  queue.add({ need: createNeed('c1'), dueAt: 1_800, rank: 0, endsAt: 700 });
-  t.equal(queue.serve(699).length, 0);
+  const queue = new routing.PlacementQueue(new routing.EngineLedger());
+  queue.add({ spec: createNeed('c1'), dueAt: 1_800, priority: 0, expiresAt: 700 });
+  t.equal(queue.dispatch(699).length, 0);
   t.same(
-    queue.serve(700).map(({ placed }) => placed),
+    queue.dispatch(700).map(({ placed }) => placed),
     [undefined],
   );
   t.equal(queue.size, 0);
@@ -132,12 +144,12 @@
   // would come back later still.
   const ledger = new routing.EngineLedger();
   ledger.setEngines(listEngines('e1'));
-  const queue = new routing.PlaceQueue(ledger);
+  const queue = new routing.PlacementQueue(ledger);
   ['c1', 'c2', 'c3'].forEach((callId) => {
-    queue.add({ need: createNeed(callId), dueAt: 1_800, rank: 0, endsAt: 200 });
+    queue.add({ spec: createNeed(callId), dueAt: 1_800, priority: 0, expiresAt: 200 });
   });
-  t.equal(queue.serve(0).length, 1, 'the others wait');
-  const settled = queue.serve(200);
+  t.equal(queue.dispatch(0).length, 1, 'the others wait');
+  const settled = queue.dispatch(200);
   t.same(
     settled.map(({ placed }) => placed?.engineId),
     ['e1', 'e1'],
--- a/packages/routing/tests/pool-owner.test.ts
+++ b/packages/routing/tests/pool-owner.test.ts
@@ -9,7 +9,7 @@
   const owner = new routing.PoolOwner({
     clock,
     overflowRisk: 0.05,
-    roomTokens: 4_000,
+    capacityTokens: 4_000,
     getShare: () => SHARE,
     ...options,
   });
@@ -195,7 +195,7 @@
 );
 
 void tap.default.test('work that a report shows beyond the account holds room', async (t) => {
-  const { owner } = createOwner({ roomTokens: Infinity });
+  const { owner } = createOwner({ capacityTokens: Infinity });
   owner.setUpstreams([{ upstreamId: 'e1', isLeaving: false }]);
   const report: schemas.LoadReport = {
     at: 1,
@@ -209,10 +209,10 @@
     models: [],
   };
   ask(owner, 'g0', { promptTokens: 10, maxTokens: 20 });
-  owner.takeReport('e1', report);
+  owner.applyReport('e1', report);
   t.equal(ask(owner, 'g1').decision, undefined);
-  owner.takeReport('e1', { ...report, at: 2, tokensUsed: 100 });
-  owner.takeReport('e1', report);
+  owner.applyReport('e1', { ...report, at: 2, tokensUsed: 100 });
+  owner.applyReport('e1', report);
   owner.tick();
   t.equal(owner.getSummary().waiting, 0);
   const late = ask(owner, 'g2', { promptTokens: 100, maxTokens: 50 });
@@ -229,7 +229,7 @@
     const waiting = ask(owner, 'g2', { promptTokens: 3_000 });
     for (let i = 0; i < 4; i += 1) {
       await clock.advance(2_000);
-      owner.progress({ daemonId: 'd1', tokens: [] });
+      owner.applyProgress({ daemonId: 'd1', tokens: [] });
     }
     t.equal(waiting.decision?.upstreamId, 'e1');
   },
