--- a/packages/routing/src/backup-engine-selector.ts
+++ b/packages/routing/src/backup-engine-selector.ts
@@ -1,67 +1,76 @@
+import * as crossZonePenalties from './cross-zone-penalty.js';
 import type * as engineStates from './engine-state.js';
 import * as memoryGrowth from './memory-growth.js';
-import type * as placeNeeds from './placement-spec.js';
 import type * as placedRuns from './placed-run.js';
-import * as placeLimits from './placement-limits.js';
-import type * as runAccounts from './run-registry.js';
-import * as zoneWeights from './cross-zone-penalty.js';
+import * as placementLimits from './placement-limits.js';
+import type * as placementSpecs from './placement-spec.js';
+import type * as runRegistries from './run-registry.js';
 
 /**
- * The forecast share of memory up to which copies are kept. A copy that fills the last of it would have running
- * work preempted, whose prompts are then read again, 3,000 tokens each.
+ * Forecast share of an engine's memory up to which it keeps backups. A backup that fills the rest
+ * would cause running generations to be preempted and the prefill of each to be repeated, 3,000
+ * tokens each.
  */
-const COPY_LIMIT = 0.76;
+const BACKUP_LIMIT = 0.76;
 
 /**
- * The forecast share of all engines' memory up to which copies are kept. Beyond it the day is heavy, and what the
- * next seconds bring needs the room: copies that took it kept eight drafts at once waiting too long.
+ * Forecast share of the pool's memory up to which backups are kept. Beyond it the load is heavy and
+ * the capacity is needed for the next seconds: with backups in it, eight long generations at once
+ * waited too long.
  */
-const POOL_COPY_LIMIT = 0.62;
+const POOL_BACKUP_LIMIT = 0.62;
 
-/** How much each run that an engine takes over from the same leaving engine weighs, as a share of memory. */
-const TAKER_WEIGHT = 0.1;
+/**
+ * Weight of each other run that migrates from the same leaving engine to a target, as a share of
+ * memory.
+ */
+const TARGET_WEIGHT = 0.1;
 
 /**
- * How much a taker in another availability zone than the leaving engine weighs, as a share of memory. Memory takes twice
- * as long between zones, 0.4 s a run, and the notice of 1.5 to 2 s is over after four runs instead of seven.
+ * Weight of a target in another availability zone than the leaving engine, as a share of memory.
+ * The transfer takes twice as long between zones, 0.4 s per run, so the notice of 1.5 to 2 s is
+ * over after four runs instead of seven.
  */
-const FAR_LINK_WEIGHT = 0.2;
+const CROSS_ZONE_LINK_WEIGHT = 0.2;
 
-/** How much an engine counts beyond its own share, as a share of memory. */
-type Penalty = (engine: placeNeeds.LedgerEngine) => number;
+/** Returns an addition to an engine's score, as a share of memory. */
+type Penalty = (engine: placementSpecs.LedgerEngine) => number;
 
-/** Chooses which engine keeps the copy of a run, or takes the run over. */
+/** Selects the engine that keeps the backup of a run, and the target engine of a migration. */
 export class BackupEngineSelector {
   public constructor(
-    private readonly runs: runAccounts.RunRegistry,
+    private readonly runs: runRegistries.RunRegistry,
     private readonly listEngines: () => Iterable<engineStates.EngineState>,
   ) {}
 
-  /** Who keeps a copy from the start; nothing when the pool or every engine is too full for it. */
+  /**
+   * Selects the engine for the backup of a new run; `undefined` if the pool or every engine is too
+   * full for it.
+   */
   public findBackupEngine(
     run: placedRuns.PlacedRun,
     poolShare: number,
     now: number,
   ): string | undefined {
-    const isFull = poolShare > POOL_COPY_LIMIT;
-    return isFull ? undefined : this.findBest(run, [], COPY_LIMIT, now, () => 0);
+    const isFull = poolShare > POOL_BACKUP_LIMIT;
+    return isFull ? undefined : this.findBest(run, [], BACKUP_LIMIT, now, () => 0);
   }
 
-  /** Who takes over a run whose engine leaves. */
+  /** Selects the target engine for a run whose engine is leaving. */
   public findTargetEngine(
     run: placedRuns.PlacedRun,
     excluded: readonly string[],
     now: number,
   ): string | undefined {
-    // Runs of one engine come to their new ones at the same moment, so they are spread.
-    const takers = this.runs
+    // All runs of a leaving engine arrive at their targets at the same time, so they are spread.
+    const targets = this.runs
       .listAt(run.engineId)
       .filter((other) => other !== run)
       .map(({ backupEngineId: copyAt }) => copyAt);
-    return this.findBest(run, excluded, placeLimits.PLACEMENT_LIMIT, now, (engine) => {
-      const taken = takers.filter((taker) => taker === engine.engineId).length;
-      const farWeight = engine.availabilityZone === run.zone ? 0 : FAR_LINK_WEIGHT;
-      return taken * TAKER_WEIGHT + farWeight;
+    return this.findBest(run, excluded, placementLimits.PLACEMENT_LIMIT, now, (engine) => {
+      const sharedRuns = targets.filter((target) => target === engine.engineId).length;
+      const linkPenalty = engine.availabilityZone === run.zone ? 0 : CROSS_ZONE_LINK_WEIGHT;
+      return sharedRuns * TARGET_WEIGHT + linkPenalty;
     });
   }
 
@@ -72,18 +81,18 @@
     now: number,
     getPenalty: Penalty,
   ): string | undefined {
-    const { HORIZON_MS } = placeLimits;
+    const { HORIZON_MS } = placementLimits;
     const size = memoryGrowth.forecastTokens(run.spec, now - run.startedAt, HORIZON_MS);
     let best: string | undefined;
     let bestScore = Infinity;
-    for (const { engine, occupancy: holdings } of this.listEngines()) {
+    for (const { engine, occupancy } of this.listEngines()) {
       const { engineId, memoryTokens } = engine;
-      const share = (holdings.getForecastTokens(now, HORIZON_MS) + size) / memoryTokens;
-      const isBarred =
+      const share = (occupancy.getForecastTokens(now, HORIZON_MS) + size) / memoryTokens;
+      const isExcluded =
         engine.isClosed === true || engineId === run.engineId || excluded.includes(engineId);
-      if (share <= limit && !isBarred) {
+      if (share <= limit && !isExcluded) {
         const score =
-          share + zoneWeights.getCrossZonePenalty(engine, run.spec) + getPenalty(engine);
+          share + crossZonePenalties.getCrossZonePenalty(engine, run.spec) + getPenalty(engine);
         best = score < bestScore ? engineId : best;
         bestScore = Math.min(score, bestScore);
       }
--- a/packages/routing/src/cold-send-quota.ts
+++ b/packages/routing/src/cold-send-quota.ts
@@ -2,36 +2,39 @@
 
 import * as recentSends from './recent-sends.js';
 
-/** The part of a cold upstream's rate that hosts without a common account share; the rest is the leader's to give. */
-const SHARED_PART = 0.4;
+/**
+ * Fraction of a cold upstream's rate that hosts share when they place calls without the leader. The
+ * leader allocates the rest.
+ */
+const SHARED_FRACTION = 0.4;
 
-/** The number of values of a 32-bit hash. */
+/** Number of values of a 32-bit hash. */
 const HASH_VALUES = 2 ** 32;
 
-/** A cold upstream, as a host that has no common account sees it. */
+/** A cold upstream, as seen by a host that places calls without the leader. */
 export interface ColdUpstream {
   readonly upstreamId: string;
-  /** The calls a second that it bears while it is cold, from all hosts together. */
+  /** Calls per second that it sustains while it is cold, from all hosts together. */
   readonly callsPerS: number;
 }
 
 /**
- * This host's share of the calls that cold upstreams bear. Hosts cannot ask each other in time, so each keeps an equal
- * part by the number of hosts. Where that is less than one call, each upstream has only some of the hosts, told by a hash:
- * if every host sent one call, hundreds would arrive at once.
+ * This host's quota of calls to cold upstreams. Hosts cannot coordinate in time, so each takes an
+ * equal share based on the number of hosts. Where that share is less than one call, a hash selects
+ * a few of the hosts for each upstream: if every host sent one call, hundreds would arrive at once.
  */
 export class ColdSendQuota {
-  private readonly sends = new Map<string, recentSends.RecentSends>();
+  private readonly sendsByUpstream = new Map<string, recentSends.RecentSends>();
 
   public constructor(
     private readonly hostId: string,
-    /** How many hosts there are; nothing before that was told. */
+    /** Number of hosts; `undefined` before it is known. */
     private readonly countHosts: () => number | undefined,
   ) {}
 
-  /** How many upstreams have an account. */
+  /** Number of upstreams with recent sends. */
   public get size(): number {
-    return this.sends.size;
+    return this.sendsByUpstream.size;
   }
 
   /** Whether this host may send a call to a cold upstream now. */
@@ -40,28 +43,31 @@
     if (hosts === undefined) {
       return false;
     }
-    const share = (callsPerS * SHARED_PART) / hosts;
-    const sent = this.sends.get(upstreamId)?.count(now) ?? 0;
+    const share = (callsPerS * SHARED_FRACTION) / hosts;
+    const sent = this.sendsByUpstream.get(upstreamId)?.count(now) ?? 0;
     if (share >= 1) {
       return sent < Math.floor(share);
     }
-    const rank = schemas.getHash32(`${this.hostId}/${upstreamId}`) / HASH_VALUES;
-    return rank < share && sent === 0;
+    const position = schemas.getHash32(`${this.hostId}/${upstreamId}`) / HASH_VALUES;
+    return position < share && sent === 0;
   }
 
-  /** Notes that this host sends a call to a cold upstream. */
+  /** Records that this host sends a call to a cold upstream. */
   public recordSend(upstreamId: string, now: number): void {
-    const known = this.sends.get(upstreamId) ?? new recentSends.RecentSends();
-    this.dropOver(now);
-    this.sends.set(upstreamId, known);
-    known.record(now);
+    const recent = this.sendsByUpstream.get(upstreamId) ?? new recentSends.RecentSends();
+    this.dropStale(now);
+    this.sendsByUpstream.set(upstreamId, recent);
+    recent.record(now);
   }
 
-  /** Upstreams come and go for as long as the host runs; those without a send of late need no account. */
-  private dropOver(now: number): void {
-    this.sends.forEach((sends, upstreamId) => {
+  /**
+   * Upstreams are added and removed for as long as the host runs, so entries without a recent send
+   * are dropped.
+   */
+  private dropStale(now: number): void {
+    this.sendsByUpstream.forEach((sends, upstreamId) => {
       if (sends.count(now) === 0) {
-        this.sends.delete(upstreamId);
+        this.sendsByUpstream.delete(upstreamId);
       }
     });
   }
--- a/packages/routing/src/crash-ledger.ts
+++ b/packages/routing/src/crash-ledger.ts
@@ -1,112 +1,132 @@
 import * as suspects from './suspect.js';
 
-/** How many calls are remembered. Each has cost an upstream its process, so a caller can't make them up at will. */
-const MOST_CALLS = 1_000;
+/**
+ * Maximum number of calls recorded. Each has cost an upstream its process, so a caller cannot fill
+ * the ledger cheaply.
+ */
+const MAX_CALLS = 1_000;
 
-/** How many cleared suspects are remembered for hosts that ask what has changed; hosts further behind get all suspects. */
-const MOST_CLEARED = 500;
+/**
+ * Maximum number of cleared suspects kept for hosts that ask for changes. Hosts that are further
+ * behind receive the whole list.
+ */
+const MAX_CLEARED = 500;
 
 /**
- * How long other suspects are kept away from where one runs, in milliseconds. One that is bad ends its upstream when
- * it begins to run, after a wait for a place and the reading of its prompt.
+ * How long other suspects are kept away from a process on which a suspect runs, in milliseconds. A
+ * faulty call ends its upstream when it starts to run, that is after queuing for a slot and after
+ * its prefill.
  */
 const TRIAL_MS = 1_500;
 
 /**
- * After which times a quarantined call is sent once more, in milliseconds. Another bad call, which may have made a good one
- * look bad, is known at all hosts by the first; by the second, engines that went at the same time are back. Each costs a
- * bad call's upstream with all that runs there, so there are no more.
+ * Delays after which a quarantined call may be retried once, in milliseconds. By the first delay
+ * all hosts know of any other faulty call that may have made a good one look faulty; by the second,
+ * engines that failed at the same time have restarted. Each retry of a faulty call costs an
+ * upstream and everything that runs on it, so there are no further ones.
  */
-const CHANCES_MS = [3_000, 10_000] as const;
+const RETRY_DELAYS_MS = [3_000, 10_000] as const;
 
-/** What a caller is told to wait whose call is never sent again, in milliseconds. */
-const NEVER_RETRY_MS = 300_000;
+/** Retry delay reported for a call that will not be sent again, in milliseconds. */
+const PERMANENT_REFUSAL_RETRY_MS = 300_000;
 
-/** What has changed since a host last asked. */
+/** The changes since the revision that a host already has. */
 export interface SuspectChanges {
   readonly revision: number;
-  /** Whether these are all there are, so that the host drops what it knew. */
+  /** Whether `suspects` is the complete list, so that the host discards any suspect not in it. */
   readonly isWhole: boolean;
   readonly suspects: readonly suspects.SuspectFacts[];
   readonly cleared: readonly string[];
 }
 
 /**
- * Whether a call that is a suspect may be sent to an upstream; `isAlone` tells, where it is known, that no other suspect runs
- * there.
+ * Whether a suspect call may be sent to an upstream. `isAlone` says, where it is known, that no
+ * other suspect runs there.
  */
 export type Permit =
   | { readonly kind: 'go'; readonly isAlone?: boolean }
-  /** Another suspect runs there: if the upstream ended nobody could tell under which. */
+  /**
+   * Another suspect runs there: if the upstream ended, the cause could not be attributed to either.
+   */
   | { readonly kind: 'elsewhere' }
-  /** Another run of it is under way there. At one upstream it can end no more than that, and a good one is not refused. */
+  /**
+   * Another run of this call is in progress there. On a single upstream a faulty call can end no
+   * more than that one, and a good call is not refused.
+   */
   | { readonly kind: 'there'; readonly processId: string; readonly isAlone?: boolean }
   | PermitRefusal;
 
-/** A quarantined call must not be sent now. */
+/** A quarantined call that must not be sent now. */
 export interface PermitRefusal {
   readonly kind: 'refused';
-  /** When it may be asked again, in milliseconds. */
+  /** Delay after which the caller may try again, in milliseconds. */
   readonly retryMs: number;
 }
 
-/** A run of a suspect that is watched. */
+/** A run of a suspect under observation. */
 interface Trial {
   readonly processId: string;
-  readonly until: number;
+  readonly expiresAt: number;
   readonly permitId: string | undefined;
-  /** Whether no other suspect runs there. */
+  /** Whether no other suspect runs on the process. */
   isAlone: boolean;
 }
 
-/** What is known of one call. */
+/** The state of one call. */
 interface Entry {
   facts: suspects.SuspectFacts;
-  /** When it was quarantined, or sent since then, on this host's clock. */
-  heldAt: number | undefined;
+  /** When the call was quarantined or last sent since then, on this host's clock. */
+  retryBaseAt: number | undefined;
   trial: Trial | undefined;
-  /** The question that allowed a run which is over; a copy of it that comes late allows no other. */
-  usedPermitId: string | undefined;
-  /** Of its last change that hosts are told; 0 while it is only watched. */
+  /**
+   * Id of the permit request that allowed a finished run; a delayed duplicate of that request does
+   * not start a new trial.
+   */
+  finishedPermitId: string | undefined;
+  /** Revision of the last change published to hosts; 0 while the call is only watched. */
   revision: number;
 }
 
 /**
- * The account of calls under which upstreams ended. All that an upstream runs ends with it, most of it innocent, so one end
- * makes a suspect and no more: from then on each run of it is kept apart from other suspects, so that the next end shows
- * whose fault it is, and a whole answer at any time clears it. A call that ended a second upstream while no other suspect
- * ran there, or three in any company, is quarantined. It is sent twice more, to be cleared if it is good, and then never again.
+ * Records the calls during which upstream processes ended. Everything that runs on an upstream ends
+ * with it, and most of those calls are not the cause, so a single end only makes a call a suspect.
+ * From then on its runs are kept apart from other suspects, so that the next end can be attributed,
+ * and a complete answer clears it at any time. A call is quarantined after two ends if no other
+ * suspect ran during at least one of them, and after three ends in any case. A quarantined call is
+ * sent twice more, so that a good call can be cleared, and never again after that. An end late in a
+ * run counts half.
  */
 export class CrashLedger {
-  /** The one that changed last comes last. */
+  /** Ordered by last change, the most recent last. */
   private readonly entries = new Map<string, Entry>();
   private cleared: { readonly digest: string; readonly revision: number }[] = [];
   private revision = 0;
 
-  /** How many calls are remembered. */
+  /** Number of calls recorded. */
   public get size(): number {
     return this.entries.size;
   }
 
-  /** Whether anything is held against a call. */
+  /** Whether the ledger has an entry for a call. */
   public has(digest: string): boolean {
     return this.entries.has(digest);
   }
 
-  /** What is held against a call. */
+  /** Returns the recorded facts of a call. */
   public find(digest: string): suspects.SuspectFacts | undefined {
     return this.entries.get(digest)?.facts;
   }
 
-  /** How it stands with a call. */
+  /** Returns the standing of a call. */
   public getStanding(digest: string): suspects.Standing {
     const entry = this.entries.get(digest);
     return entry === undefined ? 'free' : suspects.getStanding(entry.facts);
   }
 
   /**
-   * Notes that a process ended under a call; told twice it counts once. Gives whether it was news. `knowsAllRuns` tells
-   * that for some time no suspect was sent without a permit of this ledger.
+   * Records that a process ended during a call. A repeated report counts once. Returns whether
+   * anything changed. `knowsAllRuns` says that for some time every suspect has been sent with a
+   * permit of this ledger.
    */
   public recordProcessEnd(
     digest: string,
@@ -116,17 +136,20 @@
   ): boolean {
     const entry = this.entries.get(digest) ?? createEntry(digest);
     const { trial } = entry;
-    const wasTried = trial?.processId === end.processId;
-    // Others may have been sent there after the host was told that none was.
-    const wasAlone = wasTried
+    const isTrialEnd = trial?.processId === end.processId;
+    // Another suspect may have been permitted there after the host received a permit that said there was none.
+    const wasAlone = isTrialEnd
       ? trial.isAlone
-      : end.wasAlone || (knowsAllRuns && this.hasRunAlone(entry.facts, end.processId, now));
+      : end.wasAlone || (knowsAllRuns && this.wasOnlySuspect(entry.facts, end.processId, now));
     const facts = suspects.addEnds(entry.facts, [{ ...end, wasAlone }]);
     endTrial(entry, end.processId);
-    return this.change(entry, facts, now);
+    return this.update(entry, facts, now);
   }
 
-  /** Clears a call: it was answered in full. */
+  /**
+   * Removes a call from the ledger because it was answered completely. Returns whether it had an
+   * entry.
+   */
   public clear(digest: string): boolean {
     const entry = this.entries.get(digest);
     if (entry === undefined) {
@@ -136,12 +159,12 @@
     if (entry.revision > 0) {
       this.revision += 1;
       this.cleared.push({ digest, revision: this.revision });
-      this.cleared = this.cleared.slice(-MOST_CLEARED);
+      this.cleared = this.cleared.slice(-MAX_CLEARED);
     }
     return true;
   }
 
-  /** Notes that a run of a suspect at a process is over and shows nothing. */
+  /** Records that a run of a suspect on a process is over without any conclusion. */
   public recordInconclusiveRun(digest: string, processId: string): void {
     const entry = this.entries.get(digest);
     if (entry !== undefined) {
@@ -150,8 +173,9 @@
   }
 
   /**
-   * Whether a call may be sent to a process now; `mayShare` where there is no other upstream for it. `permitId` names the
-   * question, and is the same when it is asked again because no answer came.
+   * Decides whether a call may be sent to a process now. `mayShare` is set if no other upstream is
+   * available for it. `permitId` identifies the request and stays the same when the request is
+   * repeated after a lost answer.
    */
   public permit(
     digest: string,
@@ -164,19 +188,20 @@
     if (entry === undefined || suspects.getStanding(entry.facts) === 'watched') {
       return { kind: 'go' };
     }
-    // The answer was lost. A refusal now would use up a send that never took place.
-    const isAskedAgain = permitId !== undefined && entry.facts.permitId === permitId;
-    const isHeld = isQuarantined(entry) && !isAskedAgain;
-    if (permitId !== undefined && entry.usedPermitId === permitId && !isHeld) {
+    // The answer to this request was lost. Refusing it now would use up a retry that never took
+    // place.
+    const isRepeatedRequest = permitId !== undefined && entry.facts.permitId === permitId;
+    const isNewRetry = isQuarantined(entry) && !isRepeatedRequest;
+    if (permitId !== undefined && entry.finishedPermitId === permitId && !isNewRetry) {
       return { kind: 'go' };
     }
-    const refusal = isHeld ? findRefusal(entry, now) : undefined;
+    const refusal = isNewRetry ? findRefusal(entry, now) : undefined;
     if (refusal !== undefined) {
       return refusal;
     }
-    if (entry.trial !== undefined && entry.trial.until > now) {
-      const isThere = entry.trial.processId === processId;
-      return isThere ? { kind: 'go' } : { kind: 'there', processId: entry.trial.processId };
+    if (entry.trial !== undefined && entry.trial.expiresAt > now) {
+      const isSameProcess = entry.trial.processId === processId;
+      return isSameProcess ? { kind: 'go' } : { kind: 'there', processId: entry.trial.processId };
     }
     const others = this.listTrialsAt(processId, now);
     if (others.length > 0 && !mayShare) {
@@ -185,15 +210,15 @@
     others.forEach((trial) => {
       trial.isAlone = false;
     });
-    entry.trial = { processId, until: now + TRIAL_MS, permitId, isAlone: others.length === 0 };
-    entry.heldAt = isQuarantined(entry) ? now : entry.heldAt;
-    if (isHeld) {
-      this.change(entry, { ...entry.facts, chances: entry.facts.chances + 1, permitId }, now);
+    entry.trial = { processId, expiresAt: now + TRIAL_MS, permitId, isAlone: others.length === 0 };
+    entry.retryBaseAt = isQuarantined(entry) ? now : entry.retryBaseAt;
+    if (isNewRetry) {
+      this.update(entry, { ...entry.facts, chances: entry.facts.chances + 1, permitId }, now);
     }
     return { kind: 'go' };
   }
 
-  /** A permit with what is known of other suspects at its process. */
+  /** Adds to a permit whether another suspect runs on the process. */
   public addIsolation(permit: Permit, digest: string): Permit {
     if (permit.kind !== 'go' && permit.kind !== 'there') {
       return permit;
@@ -201,13 +226,18 @@
     return { ...permit, isAlone: this.entries.get(digest)?.trial?.isAlone ?? false };
   }
 
-  /** The refusal of a quarantined call; nothing for others, and where it may be sent once more. */
+  /**
+   * Returns the refusal of a quarantined call; `undefined` for other calls and when a retry is due.
+   */
   public findQuarantineRefusal(digest: string, now: number): PermitRefusal | undefined {
     const entry = this.entries.get(digest);
     return entry !== undefined && isQuarantined(entry) ? findRefusal(entry, now) : undefined;
   }
 
-  /** Whether a call may be sent to a process while nobody leads; quarantined calls wait for the log. */
+  /**
+   * Decides whether a call may be sent to a process while there is no leader. Quarantined calls are
+   * refused, since their retries must be recorded in the replicated log first.
+   */
   public permitWithoutLeader(
     digest: string,
     processId: string,
@@ -219,27 +249,31 @@
   }
 
   /**
-   * Whether a host that hears no leader may send a call. It knows of no other host's runs, and if each host sent a
-   * quarantined call once more by itself it would be sent as often as there are hosts.
+   * Permits every call that is not quarantined, on a host without contact to a leader. The host
+   * does not know the runs of other hosts, and if each host retried a quarantined call by itself,
+   * the call would be sent as many times as there are hosts.
    */
   public permitUnlessQuarantined(digest: string): Permit {
     const entry = this.entries.get(digest);
     return entry !== undefined && isQuarantined(entry)
-      ? { kind: 'refused', retryMs: CHANCES_MS[0] }
+      ? { kind: 'refused', retryMs: RETRY_DELAYS_MS[0] }
       : { kind: 'go' };
   }
 
-  /** Takes what another host knows; what is known here of the same call stays. */
+  /**
+   * Merges the facts of another host into the ledger; facts already recorded here are kept. Returns
+   * whether anything changed.
+   */
   public merge(all: readonly suspects.SuspectFacts[], now: number): boolean {
     return all
       .map((facts) => {
         const entry = this.entries.get(facts.digest) ?? createEntry(facts.digest);
-        return this.change(entry, suspects.mergeFacts(entry.facts, facts), now);
+        return this.update(entry, suspects.mergeFacts(entry.facts, facts), now);
       })
       .includes(true);
   }
 
-  /** Takes what a leader says has changed. */
+  /** Applies the changes that a leader reports. */
   public apply({ cleared, isWhole, suspects: all }: SuspectChanges, now: number): void {
     if (isWhole) {
       const kept = new Set(all.map(({ digest }) => digest));
@@ -251,17 +285,18 @@
     this.merge(all, now);
   }
 
-  /** All suspects. */
+  /** Returns all suspects, including quarantined calls. */
   public listSuspects(): suspects.SuspectFacts[] {
     return [...this.entries.values()].filter(isSuspect).map(({ facts }) => facts);
   }
 
   /**
-   * What has changed of suspects since a revision; all of it where that is too long ago. Calls that are only watched are
-   * many, one for each run that an upstream takes with it, and no host does anything about them.
+   * Returns the changes to suspects since a revision, or all suspects if the revision is too old or
+   * unknown. Calls that are only watched are left out: there is one for each run that ends with its
+   * upstream, and hosts take no action on them.
    */
   public listChangesSince(revision: number): SuspectChanges {
-    const oldest = this.cleared.length < MOST_CLEARED ? 0 : (this.cleared[0]?.revision ?? 0);
+    const oldest = this.cleared.length < MAX_CLEARED ? 0 : (this.cleared[0]?.revision ?? 0);
     const isWhole = revision < oldest || revision > this.revision;
     const since = isWhole ? -1 : revision;
     return {
@@ -274,16 +309,17 @@
     };
   }
 
-  /** The number of the last change. */
+  /** Returns the revision of the last change. */
   public getRevision(): number {
     return this.revision;
   }
 
   /**
-   * Whether a suspect ended a process on which no other one ran. The run had no permit, since its host did not know yet
-   * that it was a suspect; what is known of the others tells it as well.
+   * Whether a suspect ended a process on which no other suspect ran. The run had no permit, because
+   * its host did not know yet that the call was a suspect; the entries of the other calls show it
+   * instead.
    */
-  private hasRunAlone(facts: suspects.SuspectFacts, processId: string, now: number): boolean {
+  private wasOnlySuspect(facts: suspects.SuspectFacts, processId: string, now: number): boolean {
     const hasEnd = (ends: readonly suspects.ProcessEnd[]) =>
       ends.some((end) => end.processId === processId);
     if (suspects.getStanding(facts) === 'watched' || hasEnd(facts.ends)) {
@@ -298,7 +334,7 @@
     return !hasOther && this.listTrialsAt(processId, now).length === 0;
   }
 
-  private change(entry: Entry, facts: suspects.SuspectFacts, now: number): boolean {
+  private update(entry: Entry, facts: suspects.SuspectFacts, now: number): boolean {
     if (suspects.areSame(entry.facts, facts)) {
       return false;
     }
@@ -308,17 +344,20 @@
       entry.revision = this.revision;
     }
     if (isQuarantined(entry)) {
-      entry.heldAt ??= now;
+      entry.retryBaseAt ??= now;
     }
     this.entries.delete(facts.digest);
     this.entries.set(facts.digest, entry);
-    this.dropOverflow();
+    this.evictOverflow();
     return true;
   }
 
-  /** Those with the least held against them go first, so that new suspects don't push quarantined calls out. */
-  private dropOverflow(): void {
-    if (this.entries.size <= MOST_CALLS) {
+  /**
+   * Drops the call with the lowest weight first, so that new suspects do not displace quarantined
+   * calls.
+   */
+  private evictOverflow(): void {
+    if (this.entries.size <= MAX_CALLS) {
       return;
     }
     const all = [...this.entries.values()].map(({ facts }) => facts);
@@ -328,14 +367,14 @@
 
   private listTrialsAt(processId: string, now: number): Trial[] {
     return [...this.entries.values()].flatMap(({ trial }) =>
-      trial !== undefined && trial.processId === processId && trial.until > now ? [trial] : [],
+      trial !== undefined && trial.processId === processId && trial.expiresAt > now ? [trial] : [],
     );
   }
 }
 
 function endTrial(entry: Entry, processId: string): void {
   if (entry.trial?.processId === processId) {
-    entry.usedPermitId = entry.trial.permitId;
+    entry.finishedPermitId = entry.trial.permitId;
     entry.trial = undefined;
   }
 }
@@ -348,22 +387,22 @@
   return suspects.getStanding(facts) === 'quarantined';
 }
 
-/** Why a quarantined call must not be sent now; nothing where it may be sent once more. */
-function findRefusal({ facts, heldAt }: Entry, now: number): PermitRefusal | undefined {
-  const waitMs = CHANCES_MS[facts.chances];
+/** Returns the refusal of a quarantined call; `undefined` when a retry is due. */
+function findRefusal({ facts, retryBaseAt }: Entry, now: number): PermitRefusal | undefined {
+  const waitMs = RETRY_DELAYS_MS[facts.chances];
   if (waitMs === undefined) {
-    return { kind: 'refused', retryMs: NEVER_RETRY_MS };
+    return { kind: 'refused', retryMs: PERMANENT_REFUSAL_RETRY_MS };
   }
-  const retryMs = (heldAt ?? now) + waitMs - now;
+  const retryMs = (retryBaseAt ?? now) + waitMs - now;
   return retryMs > 0 ? { kind: 'refused', retryMs } : undefined;
 }
 
 function createEntry(digest: string): Entry {
   return {
     facts: { digest, ends: [], chances: 0 },
-    heldAt: undefined,
+    retryBaseAt: undefined,
     trial: undefined,
-    usedPermitId: undefined,
+    finishedPermitId: undefined,
     revision: 0,
   };
 }
--- a/packages/routing/src/cross-zone-penalty.ts
+++ b/packages/routing/src/cross-zone-penalty.ts
@@ -1,17 +1,21 @@
-import type * as placeNeeds from './placement-spec.js';
+import type * as placementSpecs from './placement-spec.js';
 
 /**
- * How much an engine or a copy in another availability zone than the caller's entry host weighs, as a share of
- * memory. A zone that is cut off takes with it every stream that crosses its border: 13 of 36 drafts under way, when
- * they were placed by load alone over three zones. Engines of one zone are left for others when they are this
- * much fuller, so a zone whose engines are few does not starve its callers.
+ * Weight of an engine or a backup in another availability zone than the caller's entry host, as a
+ * share of memory. When a zone is cut off, every stream that crosses its border is lost: 13 of 36
+ * running long generations when they were placed over three zones by load alone. Engines of the own
+ * zone are passed over when they are fuller by this much, so a zone with few engines does not
+ * starve its callers.
  */
-const FAR_WEIGHT = 0.5;
+const CROSS_ZONE_WEIGHT = 0.5;
 
-/** How much fuller an engine counts for its distance from a generation's caller, as a share of memory. */
+/**
+ * Returns the penalty for the distance between an engine and a generation's caller, as a share of
+ * memory.
+ */
 export function getCrossZonePenalty(
-  engine: placeNeeds.LedgerEngine,
-  need: placeNeeds.PlacementSpec,
+  engine: placementSpecs.LedgerEngine,
+  spec: placementSpecs.PlacementSpec,
 ): number {
-  return engine.availabilityZone === need.availabilityZone ? 0 : FAR_WEIGHT;
+  return engine.availabilityZone === spec.availabilityZone ? 0 : CROSS_ZONE_WEIGHT;
 }
--- a/packages/routing/src/engine-ledger.ts
+++ b/packages/routing/src/engine-ledger.ts
@@ -1,129 +1,144 @@
+import * as backupEngineSelectors from './backup-engine-selector.js';
+import * as crossZonePenalties from './cross-zone-penalty.js';
 import * as engineStates from './engine-state.js';
-import * as holderChoices from './backup-engine-selector.js';
 import * as memoryGrowth from './memory-growth.js';
-import * as placeLimits from './placement-limits.js';
-import * as placeNeeds from './placement-spec.js';
-import * as promptBacklogs from './prefill-backlog.js';
-import * as runAccounts from './run-registry.js';
-import * as zoneWeights from './cross-zone-penalty.js';
+import * as placementLimits from './placement-limits.js';
+import * as placementSpecs from './placement-spec.js';
+import * as prefillBacklogs from './prefill-backlog.js';
+import * as runRegistries from './run-registry.js';
 
 /**
- * How far ahead memory is forecast for a short answer, in milliseconds. It is over by then, so the growth that drafts
- * have still to come is no reason to send it to the one engine that is empty, where every prompt queues already.
+ * Forecast horizon for a short answer, in milliseconds. It ends by then, so the later growth of
+ * long generations is no reason to send it to the one empty engine, where all prompts already
+ * queue.
  */
 const SHORT_HORIZON_MS = 1_000;
 
 /**
- * How long prompts may queue at an engine that is given another one, in milliseconds. A prompt that waits at the
- * leader can still go wherever room comes up first; in an engine's queue it is bound. What is left is enough that an
- * engine never idles between two placements.
+ * Limit of the prefill backlog up to which an engine is given another prompt, in milliseconds. A
+ * prompt that waits at the leader can still go to whichever engine has capacity first; in an
+ * engine's queue it is bound to that engine. The limit leaves enough work that an engine does not
+ * idle between two placements.
  */
 const BACKLOG_LIMIT_MS = 300;
 
-/** How many milliseconds of prompts that wait to be read weigh as much as all of an engine's memory. */
+/** Prefill backlog that weighs as much as the whole memory of an engine, in milliseconds. */
 const BACKLOG_SCALE_MS = 1_500;
 
 /**
- * How much each generation that runs on an engine weighs, as a share of memory. By memory alone a run and a copy weigh
- * the same, and of two engines one ran eight drafts while the other kept their copies. A step takes 7 ms and 0.12 ms
- * more for each run, so eight runs on one of two engines are 6% slower than four on each.
+ * Weight of each generation that runs on an engine, as a share of memory. By memory alone a run and
+ * a backup weigh the same, so one of two engines would run eight long generations while the other
+ * kept their backups. A step takes 7 ms plus 0.12 ms per run, so eight runs on one of two engines
+ * are 6% slower than four on each.
  */
 const RUN_WEIGHT = 0.01;
 
 /**
- * The account of one pool of engines: every generation with its size and every copy, in one place. Hosts that
- * choose alone see a seventh of the load each and reports that are half a second old; they overfill one engine
- * while another has room, and keep copies where there is none.
+ * Tracks one pool of engines in one place: every generation with its size, and every backup. Hosts
+ * that use fallback placement each see a seventh of the load and reports that are half a second
+ * old; they overfill one engine while another has capacity, and keep backups where there is none.
  */
 export class EngineLedger {
   private engines = new Map<string, engineStates.EngineState>();
-  private hasOpen = false;
-  private readonly runs = new runAccounts.RunRegistry();
-  private readonly speed = new promptBacklogs.PrefillRate();
-  private readonly holders = new holderChoices.BackupEngineSelector(this.runs, () =>
+  private hasOpenEngines = false;
+  private readonly runs = new runRegistries.RunRegistry();
+  private readonly prefillRate = new prefillBacklogs.PrefillRate();
+  private readonly backupSelector = new backupEngineSelectors.BackupEngineSelector(this.runs, () =>
     this.engines.values(),
   );
 
-  /** Sets which engines may be given work; what is known of those that stay is kept. */
-  public setEngines(engines: readonly placeNeeds.LedgerEngine[]): void {
+  /** Sets the engines that may be given work. The state of engines that stay is kept. */
+  public setEngines(engines: readonly placementSpecs.LedgerEngine[]): void {
     const former = this.engines;
     engines
-      .filter((engine) => isReborn(former.get(engine.engineId)?.engine, engine))
+      .filter((engine) => isRestarted(former.get(engine.engineId)?.engine, engine))
       .forEach(({ engineId }) => this.runs.removeWorkAt(engineId));
     this.engines = new Map(
       engines.map((engine) => {
         const known = former.get(engine.engineId);
-        const kept = isReborn(known?.engine, engine) ? undefined : known;
-        const holdings = this.runs.getOccupancy(engine.engineId);
-        return [engine.engineId, new engineStates.EngineState(engine, holdings, this.speed, kept)];
+        const kept = isRestarted(known?.engine, engine) ? undefined : known;
+        const occupancy = this.runs.getOccupancy(engine.engineId);
+        return [
+          engine.engineId,
+          new engineStates.EngineState(engine, occupancy, this.prefillRate, kept),
+        ];
       }),
     );
-    this.hasOpen = engines.some(({ isClosed }) => isClosed !== true);
+    this.hasOpenEngines = engines.some(({ isClosed }) => isClosed !== true);
     this.runs.removeUnlisted((engineId) => this.isListed(engineId));
   }
 
   /**
-   * Places a generation, or gives nothing while no engine has room for it. One that may still wait is not put behind
-   * the prompts that queue at an engine.
+   * Places a generation. Returns `undefined` while no engine has capacity for it. With `mayWait`
+   * set, it is not placed behind the prefill backlog of an engine.
    */
   public place(
-    need: placeNeeds.PlacementSpec,
+    spec: placementSpecs.PlacementSpec,
     now: number,
     mayWait = false,
-  ): placeNeeds.Placement | undefined {
+  ): placementSpecs.Placement | undefined {
     this.runs.dropOverdue(now);
-    const state = this.choose(need, now, mayWait);
-    const engineId = state?.engine.engineId ?? need.fixedEngineId;
+    const state = this.choose(spec, now, mayWait);
+    const engineId = state?.engine.engineId ?? spec.fixedEngineId;
     if (engineId === undefined) {
       return undefined;
     }
     this.runs.set({
-      spec: need,
-      startedAt: now - need.ranMs,
-      expiresAt: now + need.leftMs,
+      spec,
+      startedAt: now - spec.ranMs,
+      expiresAt: now + spec.leftMs,
       engineId,
       backupEngineId: undefined,
       zone: state?.engine.availabilityZone,
     });
-    if (need.isUnderWay !== true) {
+    if (spec.isUnderWay !== true) {
       state?.recordSend(now);
     }
-    if (state !== undefined && need.fixedEngineId === undefined) {
-      state.backlog.add(need.callId, need.promptTokens, now);
+    if (state !== undefined && spec.fixedEngineId === undefined) {
+      state.backlog.add(spec.callId, spec.promptTokens, now);
     }
-    const copyAt = need.wantsCopy ? this.chooseCopy(need.callId, now) : undefined;
-    this.runs.setBackup(need.callId, copyAt);
-    return { engineId, copyAt, share: state === undefined ? 0 : this.getShare(state, now) };
+    const backupEngineId = spec.wantsCopy ? this.chooseBackupEngine(spec.callId, now) : undefined;
+    this.runs.setBackup(spec.callId, backupEngineId);
+    return {
+      engineId,
+      copyAt: backupEngineId,
+      share: state === undefined ? 0 : this.getShare(state, now),
+    };
   }
 
-  /** Notes that the first event of a generation was seen, so that its prompt has been read. */
+  /** Records that the first event of a generation has arrived, so its prefill is complete. */
   public recordFirstEvent(callId: string, now: number): void {
     const run = this.runs.find(callId);
     this.engines.get(run?.engineId ?? '')?.backlog.recordFirstEvent(callId, now);
   }
 
-  /** How long engines of this pool take to read so many prompt tokens, in milliseconds. */
+  /**
+   * Returns the time that engines of this pool take for the prefill of a prompt, in milliseconds.
+   */
   public getPrefillMs(tokens: number): number {
-    return this.speed.getMs(tokens);
+    return this.prefillRate.getMs(tokens);
   }
 
-  /** How long a run is expected to go on, in milliseconds; nothing for one that is over. */
+  /**
+   * Returns the expected remaining time of a run, in milliseconds; `undefined` if the run is over.
+   */
   public getRemainingMs(callId: string, now: number): number | undefined {
     const run = this.runs.find(callId);
     return run && memoryGrowth.getRemainingMs(run.spec, now - run.startedAt);
   }
 
-  /** How much memory a run fills now, in tokens. */
+  /** Returns the memory that a run uses now, in tokens. */
   public getTokens(callId: string, now: number): number {
     const run = this.runs.find(callId);
     return run === undefined ? 0 : memoryGrowth.forecastTokens(run.spec, now - run.startedAt, 0);
   }
 
   /**
-   * Picks who takes over a generation whose engine leaves; nothing when it no longer runs there. The limits on copies
-   * do not hold here, since without a taker the generation is lost for certain. The limit for placing does: beyond it
-   * each draft that was saved had another one preempted, 18 for 18 on a heavy day. An engine that has no room all the
-   * same says so, and is then among those excluded.
+   * Selects the target engine for a generation whose engine is leaving; `undefined` if it no longer
+   * runs there. The limits for backups do not apply, since without a target engine the generation
+   * is lost for certain. The placement limit does: beyond it, each long generation that was saved
+   * caused the preemption of another one, 18 for 18 under heavy load. An engine that turns out to
+   * have no capacity refuses and is then listed in `excluded`.
    */
   public reassignBackup(
     callId: string,
@@ -135,16 +150,19 @@
     if (run === undefined || run.engineId !== engineId) {
       return undefined;
     }
-    // The copy that was lost, or that a holder refused, takes no room any more.
+    // The former backup was lost or refused by its engine, and no longer uses memory.
     this.runs.setBackup(callId, undefined);
-    const copyAt = this.holders.findTargetEngine(run, excluded, now);
-    this.runs.setBackup(callId, copyAt);
-    return copyAt;
+    const backupEngineId = this.backupSelector.findTargetEngine(run, excluded, now);
+    this.runs.setBackup(callId, backupEngineId);
+    return backupEngineId;
   }
 
-  /** The memory that a generation needs when it is placed, in tokens; where it finds no room, who needs more finds none. */
-  public getTokensNeeded(need: placeNeeds.PlacementSpec): number {
-    return memoryGrowth.forecastTokens(need, 0, getHorizonMs(need));
+  /**
+   * Returns the memory that a generation needs for its placement, in tokens. If there is no
+   * capacity for it, there is none for a generation that needs more.
+   */
+  public getTokensNeeded(spec: placementSpecs.PlacementSpec): number {
+    return memoryGrowth.forecastTokens(spec, 0, getHorizonMs(spec));
   }
 
   /** Whether generations run on an engine. */
@@ -152,29 +170,30 @@
     return (this.engines.get(engineId)?.occupancy.running ?? 0) > 0;
   }
 
-  /** Whether an engine may be given work. */
+  /** Whether an engine is currently listed. */
   public isListed(engineId: string): boolean {
     return this.engines.has(engineId);
   }
 
-  /** Whether there is an engine at all that takes new work. */
+  /** Whether any engine accepts new work. */
   public hasOpenEngine(): boolean {
-    return this.hasOpen;
+    return this.hasOpenEngines;
   }
 
-  /** Whether an engine that stays and takes new work keeps a copy of a run. */
+  /** Whether a listed engine that accepts new work keeps a backup of a run. */
   public hasBackup(callId: string): boolean {
-    const copyAt = this.runs.find(callId)?.backupEngineId;
-    const holder = copyAt === undefined ? undefined : this.engines.get(copyAt);
-    return holder !== undefined && holder.engine.isClosed !== true;
+    const backupEngineId = this.runs.find(callId)?.backupEngineId;
+    const backupEngine =
+      backupEngineId === undefined ? undefined : this.engines.get(backupEngineId);
+    return backupEngine !== undefined && backupEngine.engine.isClosed !== true;
   }
 
-  /** Notes which engine has a copy of a run, or that none has. */
-  public setBackup(callId: string, copyAt: string | undefined): void {
-    this.runs.setBackup(callId, copyAt);
+  /** Sets which engine keeps the backup of a run; `undefined` if none does. */
+  public setBackup(callId: string, backupEngineId: string | undefined): void {
+    this.runs.setBackup(callId, backupEngineId);
   }
 
-  /** Takes a generation off; a failure counts against its engine for a while. */
+  /** Removes a generation. A failure counts against its engine for a while. */
   public release(callId: string, hasFailed: boolean, now: number): void {
     const run = this.runs.find(callId);
     const state = run && this.engines.get(run.engineId);
@@ -185,29 +204,32 @@
     }
   }
 
-  /** How full the pool is, as the forecast share of all its memory, and how much runs. */
+  /**
+   * Returns how full the pool is, as the forecast share of the memory of all open engines, and the
+   * number of runs.
+   */
   public getSummary(now: number): { running: number; share: number } {
     let total = 0;
-    let held = 0;
-    for (const { engine, occupancy: holdings } of this.engines.values()) {
+    let forecastTokens = 0;
+    for (const { engine, occupancy } of this.engines.values()) {
       if (engine.isClosed !== true) {
         total += engine.memoryTokens;
-        held += holdings.getForecastTokens(now, placeLimits.HORIZON_MS);
+        forecastTokens += occupancy.getForecastTokens(now, placementLimits.HORIZON_MS);
       }
     }
-    return { running: this.runs.size, share: total === 0 ? 1 : held / total };
+    return { running: this.runs.size, share: total === 0 ? 1 : forecastTokens / total };
   }
 
   private choose(
-    need: placeNeeds.PlacementSpec,
+    spec: placementSpecs.PlacementSpec,
     now: number,
     mayWait: boolean,
   ): engineStates.EngineState | undefined {
-    if (need.fixedEngineId !== undefined) {
-      return this.engines.get(need.fixedEngineId);
+    if (spec.fixedEngineId !== undefined) {
+      return this.engines.get(spec.fixedEngineId);
     }
-    const horizonMs = getHorizonMs(need);
-    const size = memoryGrowth.forecastTokens(need, 0, horizonMs);
+    const horizonMs = getHorizonMs(spec);
+    const size = memoryGrowth.forecastTokens(spec, 0, horizonMs);
     let best: engineStates.EngineState | undefined;
     let bestScore = Infinity;
     for (const state of this.engines.values()) {
@@ -216,13 +238,13 @@
       const { running } = state.occupancy;
       const backlogMs = state.backlog.getMs(now);
       const isOpen =
-        isClosed !== true && !need.excluded.includes(engineId) && state.canAcceptSend(now);
-      const hasRoom = isOpen && share <= placeLimits.PLACEMENT_LIMIT && running < slots;
-      const isInTime = !mayWait || backlogMs <= BACKLOG_LIMIT_MS;
+        isClosed !== true && !spec.excluded.includes(engineId) && state.canAcceptSend(now);
+      const hasCapacity = isOpen && share <= placementLimits.PLACEMENT_LIMIT && running < slots;
+      const hasShortBacklog = !mayWait || backlogMs <= BACKLOG_LIMIT_MS;
       const penalty =
-        state.getFailurePenalty(now) + zoneWeights.getCrossZonePenalty(state.engine, need);
+        state.getFailurePenalty(now) + crossZonePenalties.getCrossZonePenalty(state.engine, spec);
       const score = share + penalty + running * RUN_WEIGHT + backlogMs / BACKLOG_SCALE_MS;
-      if (hasRoom && isInTime && score < bestScore) {
+      if (hasCapacity && hasShortBacklog && score < bestScore) {
         best = state;
         bestScore = score;
       }
@@ -230,26 +252,26 @@
     return best;
   }
 
-  private chooseCopy(callId: string, now: number): string | undefined {
+  private chooseBackupEngine(callId: string, now: number): string | undefined {
     const run = this.runs.find(callId);
-    if (run === undefined || placeNeeds.hasShortAnswer(run.spec)) {
+    if (run === undefined || placementSpecs.hasShortAnswer(run.spec)) {
       return undefined;
     }
-    return this.holders.findBackupEngine(run, this.getSummary(now).share, now);
+    return this.backupSelector.findBackupEngine(run, this.getSummary(now).share, now);
   }
 
-  private getShare({ engine, occupancy: holdings }: engineStates.EngineState, now: number): number {
-    return holdings.getForecastTokens(now, placeLimits.HORIZON_MS) / engine.memoryTokens;
+  private getShare({ engine, occupancy }: engineStates.EngineState, now: number): number {
+    return occupancy.getForecastTokens(now, placementLimits.HORIZON_MS) / engine.memoryTokens;
   }
 }
 
-function getHorizonMs(need: placeNeeds.PlacementSpec): number {
-  return placeNeeds.hasShortAnswer(need) ? SHORT_HORIZON_MS : placeLimits.HORIZON_MS;
+function getHorizonMs(spec: placementSpecs.PlacementSpec): number {
+  return placementSpecs.hasShortAnswer(spec) ? SHORT_HORIZON_MS : placementLimits.HORIZON_MS;
 }
 
-function isReborn(
-  former: placeNeeds.LedgerEngine | undefined,
-  engine: placeNeeds.LedgerEngine,
+function isRestarted(
+  former: placementSpecs.LedgerEngine | undefined,
+  engine: placementSpecs.LedgerEngine,
 ): boolean {
   const { bornMs } = engine;
   return former?.bornMs !== undefined && bornMs !== undefined && bornMs > former.bornMs;
--- a/packages/routing/src/engine-occupancy.ts
+++ b/packages/routing/src/engine-occupancy.ts
@@ -1,8 +1,11 @@
 import * as memoryGrowth from './memory-growth.js';
 import type * as placedRuns from './placed-run.js';
 
-/** What everything at one engine will fill at a horizon: a line over time, until the first generation changes its pace. */
-interface HeldLine {
+/**
+ * The total memory that everything on one engine is forecast to use at a horizon: a line over time,
+ * valid until the growth rate of the first generation changes.
+ */
+interface OccupancyForecast {
   readonly since: number;
   readonly until: number;
   readonly tokens: number;
@@ -10,88 +13,89 @@
 }
 
 /**
- * The generations and copies at one engine, and what they are forecast to fill. Every placement asks each engine, and
- * each engine's generations grow at a steady pace for seconds, so their sum is kept as a line and added up anew only
- * when something comes, goes or changes its pace. Walking all runs for every engine would cost 2 ms a placement among 41
- * engines and 180 runs, instead of 0.03, measured on one core. Hosts that the leader does not answer in time choose
- * alone, and overfill engines.
+ * The generations and KV-cache backups on one engine, and the memory that they are forecast to use.
+ * Every placement queries each engine, and generations grow at a steady rate for seconds, so the
+ * sum is cached as a line and recomputed only when an item is added or removed or its rate changes.
+ * Summing over all runs for every engine would take 2 ms per placement with 41 engines and 180
+ * runs, instead of 0.03 ms, measured on one core. Hosts that get no answer from the leader in time
+ * use fallback placement, which overfills engines.
  */
 export class EngineOccupancy {
   private readonly runs = new Map<string, placedRuns.PlacedRun>();
-  private readonly copies = new Map<string, placedRuns.PlacedRun>();
-  /** By horizon, in milliseconds. */
-  private readonly lines = new Map<number, HeldLine>();
+  private readonly backups = new Map<string, placedRuns.PlacedRun>();
+  /** Keyed by horizon in milliseconds. */
+  private readonly forecasts = new Map<number, OccupancyForecast>();
 
-  /** How many generations run there. */
+  /** Number of generations that run on the engine. */
   public get running(): number {
     return this.runs.size;
   }
 
-  /** Whether nothing runs there and no copy is kept. */
+  /** Whether the engine has neither runs nor backups. */
   public get isEmpty(): boolean {
-    return this.runs.size === 0 && this.copies.size === 0;
+    return this.runs.size === 0 && this.backups.size === 0;
   }
 
-  /** The generations that run there. */
+  /** Returns the generations that run on the engine. */
   public listRuns(): placedRuns.PlacedRun[] {
     return [...this.runs.values()];
   }
 
-  /** The generations of which a copy is kept there. */
+  /** Returns the generations whose backup is kept on the engine. */
   public listBackedUp(): placedRuns.PlacedRun[] {
-    return [...this.copies.values()];
+    return [...this.backups.values()];
   }
 
-  /** Enters a generation that runs there. */
+  /** Adds a generation that runs on the engine. */
   public addRun(run: placedRuns.PlacedRun): void {
     this.runs.set(run.spec.callId, run);
-    this.lines.clear();
+    this.forecasts.clear();
   }
 
-  /** Takes off a generation that ran there. */
+  /** Removes a generation that ran on the engine. */
   public removeRun(callId: string): void {
     this.runs.delete(callId);
-    this.lines.clear();
+    this.forecasts.clear();
   }
 
-  /** Enters a copy. */
+  /** Adds a backup. */
   public addBackup(run: placedRuns.PlacedRun): void {
-    this.copies.set(run.spec.callId, run);
-    this.lines.clear();
+    this.backups.set(run.spec.callId, run);
+    this.forecasts.clear();
   }
 
-  /** Takes off a copy. */
+  /** Removes a backup. */
   public removeBackup(callId: string): void {
-    this.copies.delete(callId);
-    this.lines.clear();
+    this.backups.delete(callId);
+    this.forecasts.clear();
   }
 
-  /** Memory that all of it will fill at a horizon, in tokens. */
+  /** Returns the memory that all runs and backups are forecast to use at a horizon, in tokens. */
   public getForecastTokens(now: number, horizonMs: number): number {
-    const known = this.lines.get(horizonMs);
-    const isValid = known !== undefined && now >= known.since && now < known.until;
-    const line = isValid ? known : this.sum(now, horizonMs);
-    return line.tokens + line.tokensPerMs * (now - line.since);
+    const cached = this.forecasts.get(horizonMs);
+    const isValid = cached !== undefined && now >= cached.since && now < cached.until;
+    const forecast = isValid ? cached : this.sum(now, horizonMs);
+    return forecast.tokens + forecast.tokensPerMs * (now - forecast.since);
   }
 
-  private sum(now: number, horizonMs: number): HeldLine {
+  private sum(now: number, horizonMs: number): OccupancyForecast {
     let tokens = 0;
     let tokensPerMs = 0;
-    let lastsMs = Infinity;
+    let validMs = Infinity;
     const add = (run: placedRuns.PlacedRun) => {
-      const line = memoryGrowth.forecastLine(run.spec, now - run.startedAt, horizonMs);
-      tokens += line.tokens;
-      tokensPerMs += line.tokensPerMs;
-      lastsMs = Math.min(lastsMs, line.validMs);
+      const forecast = memoryGrowth.forecastLine(run.spec, now - run.startedAt, horizonMs);
+      tokens += forecast.tokens;
+      tokensPerMs += forecast.tokensPerMs;
+      validMs = Math.min(validMs, forecast.validMs);
     };
     this.runs.forEach(add);
-    this.copies.forEach((run, callId) => {
+    this.backups.forEach((run, callId) => {
       if (!this.runs.has(callId)) {
         add(run);
       }
     });
-    const line = { since: now, until: now + lastsMs, tokens, tokensPerMs };
-    this.lines.set(horizonMs, line);
-    return line;
+    const forecast = { since: now, until: now + validMs, tokens, tokensPerMs };
+    this.forecasts.set(horizonMs, forecast);
+    return forecast;
   }
 }
--- a/packages/routing/src/engine-state.ts
+++ b/packages/routing/src/engine-state.ts
@@ -1,40 +1,46 @@
-import type * as engineHoldings from './engine-occupancy.js';
-import type * as placeNeeds from './placement-spec.js';
-import * as promptBacklogs from './prefill-backlog.js';
+import type * as engineOccupancies from './engine-occupancy.js';
+import type * as placementSpecs from './placement-spec.js';
+import * as prefillBacklogs from './prefill-backlog.js';
 import * as recentSends from './recent-sends.js';
 
-/** How much a failure weighs as a share of memory, and after which time half of that, in milliseconds. */
-const FAILURE_WEIGHT = 0.4;
+/**
+ * Weight of a failure as a share of memory, and the time after which half of it remains, in
+ * milliseconds.
+ */
+const FAILURE_PENALTY = 0.4;
 const FAILURE_HALF_LIFE_MS = 3_000;
 
-/** What the account knows of one engine besides its generations. */
+/** The state of one engine in the ledger. */
 export class EngineState {
-  /** Prompts that it has still to read. */
-  public readonly backlog: promptBacklogs.PrefillBacklog;
+  /** Prompts whose prefill is not complete yet. */
+  public readonly backlog: prefillBacklogs.PrefillBacklog;
   private readonly sends: recentSends.RecentSends;
   private failures: number;
   private failedAt: number;
 
-  /** An engine as it is listed now; what was known of it before is kept. */
+  /** Creates the state of a listed engine and keeps what was recorded in its former state. */
   public constructor(
-    public readonly engine: placeNeeds.LedgerEngine,
-    /** What runs and is kept there. */
-    public readonly occupancy: engineHoldings.EngineOccupancy,
-    speed: promptBacklogs.PrefillRate,
+    public readonly engine: placementSpecs.LedgerEngine,
+    /** The runs and backups on the engine. */
+    public readonly occupancy: engineOccupancies.EngineOccupancy,
+    prefillRate: prefillBacklogs.PrefillRate,
     former: EngineState | undefined,
   ) {
-    this.backlog = former?.backlog ?? new promptBacklogs.PrefillBacklog(speed);
+    this.backlog = former?.backlog ?? new prefillBacklogs.PrefillBacklog(prefillRate);
     this.sends = former?.sends ?? new recentSends.RecentSends();
     this.failures = former?.failures ?? 0;
     this.failedAt = former?.failedAt ?? 0;
   }
 
-  /** Notes that a generation is sent there. */
+  /** Records that a generation is sent to the engine. */
   public recordSend(now: number): void {
     this.sends.record(now);
   }
 
-  /** Whether it bears one more new generation now. An engine may be cold before anybody knows, so there is always a limit. */
+  /**
+   * Whether the engine sustains one more new generation now. It may be cold before any host detects
+   * it, so a limit always applies.
+   */
   public canAcceptSend(now: number): boolean {
     const { coldUntil = -Infinity, sendsPerS } = this.engine;
     if (sendsPerS === undefined) {
@@ -43,15 +49,15 @@
     return this.sends.count(now) < (now < coldUntil ? sendsPerS.cold : sendsPerS.most);
   }
 
-  /** Notes a generation that it broke off. */
+  /** Records a generation that the engine aborted. */
   public recordFailure(now: number): void {
     this.failures = this.getFailures(now) + 1;
     this.failedAt = now;
   }
 
-  /** How much fuller it counts for its failures, as a share of its memory; older ones count less. */
+  /** Returns the penalty for recent failures, as a share of memory. Older failures count less. */
   public getFailurePenalty(now: number): number {
-    return this.getFailures(now) * FAILURE_WEIGHT;
+    return this.getFailures(now) * FAILURE_PENALTY;
   }
 
   private getFailures(now: number): number {
--- a/packages/routing/src/fair-queue.ts
+++ b/packages/routing/src/fair-queue.ts
@@ -1,9 +1,9 @@
 import type * as types from './types.js';
 
-/** After how long in the queue a batch request goes before other batch work, in milliseconds. */
+/** Time in the queue after which a batch request precedes other batch work, in milliseconds. */
 const AGING_MS = 20_000;
 
-/** A request that waits. */
+/** A request in the queue. */
 export interface QueuedRequest {
   readonly req: types.GrantRequest;
   readonly enqueuedAt: number;
@@ -16,9 +16,10 @@
 }
 
 /**
- * What waits for room, by team and class. Interactive work goes first, then aged batch work, then the rest.
- * Among teams the one that was served least for its weight goes first, and a team that was away starts level
- * with the others, so that it can't save up idle time.
+ * Queues requests for capacity by team and class. Interactive work comes first, then aged batch
+ * work, then other batch work. Among teams, the one with the least service relative to its weight
+ * comes first. A team that had no requests resumes at the current level of the others, so it cannot
+ * accumulate credit while idle.
  */
 export class FairQueue {
   private readonly teams = new Map<string, TeamQueue>();
@@ -26,27 +27,27 @@
 
   public constructor(private readonly getWeight: (team: string) => number) {}
 
-  /** Puts a request at the end of its team's line. */
+  /** Appends a request to the queue of its team and class. */
   public push(item: QueuedRequest): void {
     const queue = this.getTeam(item.req.team);
     if (this.countWaiting(item.req.team) === 0) {
       queue.served = Math.max(queue.served, this.level);
     }
-    const line = queue.waiting.get(item.req.workClass) ?? [];
-    queue.waiting.set(item.req.workClass, line);
-    line.push(item);
+    const requests = queue.waiting.get(item.req.workClass) ?? [];
+    queue.waiting.set(item.req.workClass, requests);
+    requests.push(item);
   }
 
-  /** Takes a request out, granted or not. */
+  /** Removes a request, granted or not. */
   public remove(item: QueuedRequest): void {
-    const line = this.teams.get(item.req.team)?.waiting.get(item.req.workClass);
-    const at = line?.indexOf(item) ?? -1;
+    const requests = this.teams.get(item.req.team)?.waiting.get(item.req.workClass);
+    const at = requests?.indexOf(item) ?? -1;
     if (at >= 0) {
-      line?.splice(at, 1);
+      requests?.splice(at, 1);
     }
   }
 
-  /** Charges a team for what it was granted; a negative cost gives back what was not used. */
+  /** Charges a team for a grant; a negative cost refunds what was not used. */
   public charge(team: string, cost: number): void {
     const queue = this.getTeam(team);
     const before = queue.served;
@@ -56,49 +57,49 @@
     }
   }
 
-  /** The first of each line, in the order in which they should be served. */
+  /** Yields the first request of each team and class, in the order of service. */
   public *iterateHeads(now: number): Generator<QueuedRequest> {
-    const heads: { item: QueuedRequest; rank: number; served: number }[] = [];
+    const heads: { item: QueuedRequest; priority: number; served: number }[] = [];
     this.teams.forEach((queue) => {
       queue.waiting.forEach(([item]) => {
         if (item !== undefined) {
-          heads.push({ item, rank: this.getRank(item, now), served: queue.served });
+          heads.push({ item, priority: this.getPriority(item, now), served: queue.served });
         }
       });
     });
-    heads.sort((a, b) => a.rank - b.rank || a.served - b.served);
+    heads.sort((a, b) => a.priority - b.priority || a.served - b.served);
     for (const head of heads) {
       yield head.item;
     }
   }
 
-  /** Whether a request that does not fit holds back what comes behind it. */
+  /** Whether a request that does not fit blocks those behind it. */
   public isBlocking(item: QueuedRequest, now: number): boolean {
     return item.req.workClass === 'batch' && this.isAged(item, now);
   }
 
-  /** Whether batch work waits that has waited long. */
+  /** Whether batch work has been waiting for long. */
   public hasAgedBatch(now: number): boolean {
     return this.listAll().some((item) => this.isBlocking(item, now));
   }
 
-  /** Every request whose patience is over. */
+  /** Returns the requests whose waiting time is over. */
   public listTimedOut(now: number): QueuedRequest[] {
     return this.listAll().filter((item) => now - item.enqueuedAt >= item.req.patienceMs);
   }
 
-  /** Everything that waits. */
+  /** Returns all requests in the queue. */
   public listAll(): QueuedRequest[] {
     return [...this.teams.values()].flatMap((queue) => [...queue.waiting.values()].flat());
   }
 
-  /** How many requests of a team wait. */
+  /** Returns the number of queued requests of a team. */
   public countWaiting(team: string): number {
-    const lines = this.teams.get(team)?.waiting.values() ?? [];
-    return [...lines].reduce((sum, line) => sum + line.length, 0);
+    const queues = this.teams.get(team)?.waiting.values() ?? [];
+    return [...queues].reduce((sum, requests) => sum + requests.length, 0);
   }
 
-  private getRank(item: QueuedRequest, now: number): number {
+  private getPriority(item: QueuedRequest, now: number): number {
     if (item.req.workClass === 'interactive') {
       return 0;
     }
--- a/packages/routing/src/fallback-choice.ts
+++ b/packages/routing/src/fallback-choice.ts
@@ -1,21 +1,27 @@
-/** What a daemon that decides alone knows of an upstream. */
+/** What a daemon without a pool owner knows of an upstream. */
 export interface FallbackCandidate {
   readonly upstreamId: string;
-  /** What this daemon itself runs there now. */
+  /** Number of generations that this daemon runs there now. */
   readonly outstanding: number;
-  /** The last share of memory that it heard of, 0 to 1. */
+  /** Estimated share of the upstream's memory in use, 0 to 1. */
   readonly reportedShare: number;
 }
 
-/** Above which reported share of memory a daemon alone sends nothing more to an upstream. */
-const LONE_SHARE_LIMIT = 0.9;
+/**
+ * Estimated share of memory from which a daemon without a pool owner sends nothing more to an
+ * upstream.
+ */
+const MAX_MEMORY_SHARE = 0.9;
 
-/** The better of two candidates at random; when every daemon takes the best one, all run to the same. */
+/**
+ * Chooses the less loaded of two random candidates; if every daemon chose the best one, they would
+ * all choose the same.
+ */
 export function chooseFallbackUpstream(
   candidates: readonly FallbackCandidate[],
   random: () => number,
 ): FallbackCandidate | undefined {
-  const usable = candidates.filter((item) => item.reportedShare < LONE_SHARE_LIMIT);
+  const usable = candidates.filter((item) => item.reportedShare < MAX_MEMORY_SHARE);
   if (usable.length === 0) {
     return undefined;
   }
--- a/packages/routing/src/length-distribution.ts
+++ b/packages/routing/src/length-distribution.ts
@@ -1,48 +1,49 @@
-/** The ratio of one length bucket to the one before. */
+/** Ratio between the starts of two successive length buckets. */
 const RATIO = 1.25;
 
-/** Buckets; the last one holds everything from about 100,000 tokens on. */
-const BUCKETS = 52;
+/** Number of buckets; the last one holds all lengths from about 100,000 tokens on. */
+const BUCKET_COUNT = 52;
 
-/** How much a bucket without observations of its own weighs, in generations. */
+/** Weight of the prior in each bucket, in generations. */
 const PRIOR_WEIGHT = 3;
 
-/** The share of generations that end in a bucket when nothing at all is known: a heavy tail. */
+/** Share of generations that end in a bucket when nothing has been observed; gives a heavy tail. */
 const PRIOR_HAZARD = 0.12;
 
-/** After how many ends the past counts half. */
+/** Number of ends after which earlier observations count half. */
 const HALF_LIFE_ENDS = 1_000;
 
 const LOG_RATIO = Math.log(RATIO);
 
-/** The first length of a bucket. */
+/** Returns the first length of a bucket. */
 function getBucketStart(bucket: number): number {
   return bucket === 0 ? 0 : RATIO ** bucket;
 }
 
-/** The place of a length among the buckets, with its fraction. */
-function getPlace(length: number): number {
-  return length <= 1 ? 0 : Math.min(Math.log(length) / LOG_RATIO, BUCKETS - 1e-9);
+/** Returns the fractional bucket index of a length. */
+function getBucketPosition(length: number): number {
+  return length <= 1 ? 0 : Math.min(Math.log(length) / LOG_RATIO, BUCKET_COUNT - 1e-9);
 }
 
-/** The bucket of a length. */
+/** Returns the bucket of a length. */
 export function getBucket(length: number): number {
-  return Math.floor(getPlace(length));
+  return Math.floor(getBucketPosition(length));
 }
 
 /**
- * The lengths of one kind of generation, learned while they run: for each bucket, how many reached it and
- * how many ended in it. Running generations count for the buckets they have passed. Counting only ended
- * ones would make every kind look short at first, and the long ones would fill the engine's memory.
+ * The distribution of lengths of one kind of generation, learned while generations run: for each
+ * bucket, how many reached it and how many ended in it. Running generations count in the buckets
+ * that they have passed. If only ended ones counted, every kind would look short at first, and the
+ * long generations would fill the engine's memory.
  */
 export class LengthDistribution {
-  private readonly reached = new Float64Array(BUCKETS);
-  private readonly ended = new Float64Array(BUCKETS);
-  private readonly logSurvival = new Float64Array(BUCKETS + 1);
+  private readonly reached = new Float64Array(BUCKET_COUNT);
+  private readonly ended = new Float64Array(BUCKET_COUNT);
+  private readonly logSurvival = new Float64Array(BUCKET_COUNT + 1);
   private ends = 0;
   private isStale = true;
 
-  /** `parent` is a wider kind whose shares stand in where this one has seen little. */
+  /** `parent` is a wider kind that serves as the prior where there are few observations. */
   public constructor(private readonly parent?: LengthDistribution) {}
 
   /** Counts the buckets that a running generation has passed since `from`. */
@@ -54,25 +55,25 @@
     this.parent?.recordProgress(from, to);
   }
 
-  /** Counts the end of a generation whose earlier buckets are counted. */
+  /** Counts the end of a generation whose earlier buckets are already counted. */
   public recordEnd(bucket: number): void {
     this.reached[bucket]! += 1;
     this.ended[bucket]! += 1;
     this.ends += 1;
     this.isStale = true;
     if (this.ends >= HALF_LIFE_ENDS) {
-      this.halve();
+      this.decay();
     }
     this.parent?.recordEnd(bucket);
   }
 
-  /** The chance that a generation of `from` tokens goes on to `to`. */
+  /** Returns the probability that a generation with `from` tokens reaches `to` tokens. */
   public getSurvival(from: number, to: number): number {
     this.refresh();
     return Math.exp(this.getLogSurvival(to) - this.getLogSurvival(from));
   }
 
-  /** The same for many moments at once, each so many tokens on from `from`. */
+  /** Computes the same for several lengths at once, given as offsets from `from`. */
   public fillSurvival(from: number, steps: readonly number[], out: Float64Array): void {
     this.refresh();
     const now = this.getLogSurvival(from);
@@ -81,12 +82,15 @@
     }
   }
 
-  /** The mean number of tokens that a generation of `from` tokens still produces, up to `most` in all. */
+  /**
+   * Returns the mean number of tokens that a generation with `from` tokens still produces, up to
+   * `most` in total.
+   */
   public getMeanRemaining(from: number, most: number): number {
     let mean = 0;
     let at = from;
     for (let bucket = getBucket(from) + 1; at < most; bucket += 1) {
-      const next = bucket >= BUCKETS ? most : Math.min(getBucketStart(bucket), most);
+      const next = bucket >= BUCKET_COUNT ? most : Math.min(getBucketStart(bucket), most);
       mean += this.getSurvival(from, (at + next) / 2) * (next - at);
       at = next;
     }
@@ -94,10 +98,10 @@
   }
 
   private getLogSurvival(length: number): number {
-    const place = getPlace(length);
-    const bucket = Math.floor(place);
+    const position = getBucketPosition(length);
+    const bucket = Math.floor(position);
     const low = this.logSurvival[bucket]!;
-    return low + (this.logSurvival[bucket + 1]! - low) * (place - bucket);
+    return low + (this.logSurvival[bucket + 1]! - low) * (position - bucket);
   }
 
   private getHazard(bucket: number): number {
@@ -111,15 +115,15 @@
       return;
     }
     this.isStale = false;
-    for (let bucket = 0; bucket < BUCKETS; bucket += 1) {
+    for (let bucket = 0; bucket < BUCKET_COUNT; bucket += 1) {
       const hazard = Math.min(this.getHazard(bucket), 0.999);
       this.logSurvival[bucket + 1] = this.logSurvival[bucket]! + Math.log1p(-hazard);
     }
   }
 
-  private halve(): void {
+  private decay(): void {
     this.ends = 0;
-    for (let bucket = 0; bucket < BUCKETS; bucket += 1) {
+    for (let bucket = 0; bucket < BUCKET_COUNT; bucket += 1) {
       this.reached[bucket]! /= 2;
       this.ended[bucket]! /= 2;
     }
--- a/packages/routing/src/length-model.ts
+++ b/packages/routing/src/length-model.ts
@@ -1,17 +1,17 @@
 import * as lengths from './length-distribution.js';
 import type * as types from './types.js';
 
-/** Gives the distribution of lengths for a kind of work. */
+/** Provides the length distribution of a kind of work. */
 export interface LengthSource {
   get(team: string, workClass: types.WorkClass): lengths.LengthDistribution;
 }
 
-/** Lengths by team and class, each falling back to its class. */
+/** Length distributions per team and class; the distribution of the class is the prior. */
 export class LengthModel implements LengthSource {
   private readonly byClass = new Map<types.WorkClass, lengths.LengthDistribution>();
   private readonly byTeam = new Map<string, lengths.LengthDistribution>();
 
-  /** The distribution for a team's work of a class. */
+  /** Returns the distribution for a team's work of a class. */
   public get(team: string, workClass: types.WorkClass): lengths.LengthDistribution {
     const key = `${team}/${workClass}`;
     const known = this.byTeam.get(key);
--- a/packages/routing/src/live-generation.ts
+++ b/packages/routing/src/live-generation.ts
@@ -1,14 +1,14 @@
 import * as lengths from './length-distribution.js';
 import type * as types from './types.js';
 
-/** The longest time for which progress that was not told is assumed, in milliseconds. */
-const MAX_AHEAD_MS = 5_000;
+/** Longest time for which progress is extrapolated without a report, in milliseconds. */
+const MAX_EXTRAPOLATION_MS = 5_000;
 
-/** A generation that was granted room, as the owner accounts for it. */
+/** A generation that was granted capacity, as tracked by the pool owner. */
 export class LiveGeneration {
   public tokens: number;
-  private counted: number;
-  private toldAt: number;
+  private countedBucket: number;
+  private reportedAt: number;
 
   public constructor(
     public readonly facts: types.RunningGeneration,
@@ -16,34 +16,37 @@
     public readonly grantedAt: number,
   ) {
     this.tokens = facts.tokens;
-    this.toldAt = grantedAt;
-    this.counted = lengths.getBucket(facts.tokens);
+    this.reportedAt = grantedAt;
+    this.countedBucket = lengths.getBucket(facts.tokens);
   }
 
-  /** Moves on to a number of tokens; a late message with fewer changes nothing. */
+  /** Sets the number of tokens; a late message with fewer tokens does not lower it. */
   public advance(tokens: number, now: number): void {
-    this.toldAt = now;
+    this.reportedAt = now;
     this.tokens = Math.max(this.tokens, tokens);
     const bucket = lengths.getBucket(this.tokens);
-    this.distribution.recordProgress(this.counted, bucket);
-    this.counted = Math.max(this.counted, bucket);
+    this.distribution.recordProgress(this.countedBucket, bucket);
+    this.countedBucket = Math.max(this.countedBucket, bucket);
   }
 
-  /** Counts the end; a generation that was cut off says nothing about lengths. */
+  /** Counts the end. A generation that was aborted is no evidence of lengths. */
   public end(tokens: number, isNatural: boolean, now: number): void {
     this.advance(tokens, now);
     if (isNatural) {
-      this.distribution.recordEnd(this.counted);
+      this.distribution.recordEnd(this.countedBucket);
     }
   }
 
-  /** How many tokens it probably has by now, at a speed in tokens per second. */
-  public estimateTokens(now: number, speed: number): number {
-    const aheadMs = Math.min(Math.max(now - this.toldAt, 0), MAX_AHEAD_MS);
-    return Math.min(this.tokens + (speed * aheadMs) / 1_000, this.facts.maxTokens - 1);
+  /** Estimates the current number of tokens, at a speed in tokens per second. */
+  public estimateTokens(now: number, tokensPerS: number): number {
+    const elapsedMs = Math.min(Math.max(now - this.reportedAt, 0), MAX_EXTRAPOLATION_MS);
+    return Math.min(this.tokens + (tokensPerS * elapsedMs) / 1_000, this.facts.maxTokens - 1);
   }
 
-  /** The chances that it still holds memory so many tokens on from `tokens`; none beyond its limit. */
+  /**
+   * Computes the probabilities that the generation still holds memory after so many more tokens
+   * than `tokens`; 0 beyond its limit.
+   */
   public fillSurvival(tokens: number, steps: readonly number[], out: Float64Array): void {
     this.distribution.fillSurvival(tokens, steps, out);
     for (let i = 0; i < steps.length; i += 1) {
--- a/packages/routing/src/load-choice.ts
+++ b/packages/routing/src/load-choice.ts
@@ -1,22 +1,25 @@
 import type * as loads from './upstream-load.js';
 
-/** How much busier an upstream counts for each of its late failures, as a share of its places. */
+/** Load added to an upstream for each recent failure, as a share of its slots. */
 const FAILURE_PENALTY = 0.5;
 
 /**
- * Above which share of busy places a near upstream is passed over for one in another zone. Below it the way
- * between zones, 1 to 3 ms of a call of 20 ms, outweighs what a shorter queue saves.
+ * Share of busy slots from which an upstream in the same zone is passed over for one in another
+ * zone. Below it, the latency between zones (1 to 3 ms on a call of 20 ms) outweighs the gain of a
+ * shorter queue.
  */
-const NEAR_SHARE_LIMIT = 0.7;
+const SAME_ZONE_CALL_LIMIT = 0.7;
 
 /**
- * Above which share of memory a near engine is passed over by a host that chooses alone. It does so mostly because its
- * zone is cut off, and then the others cannot be reached at all: with one engine in six near, two drawn at random are
- * both far in seven of ten cases, each costs 150 ms, and after four of them the caller is refused.
+ * Share of memory from which an engine in the same zone is passed over in fallback placement. The
+ * usual reason for fallback placement is that the zone is cut off, and then engines in other zones
+ * are unreachable: with one engine in six in the zone, two random candidates are both in other
+ * zones in seven of ten cases; each such attempt costs 150 ms, and after four of them the call is
+ * refused.
  */
-const NEAR_ENGINE_LIMIT = 1;
+const SAME_ZONE_MEMORY_LIMIT = 1;
 
-/** How much fuller an upstream that has just started counts. */
+/** Load added to an upstream that has just started. */
 const COLD_PENALTY = 0.5;
 
 /** An upstream that could take a call. */
@@ -24,46 +27,56 @@
   readonly upstreamId: string;
   readonly isNear: boolean;
   readonly isCold: boolean;
-  /** Calls that it works on at once. */
+  /** Number of calls that it processes concurrently. */
   readonly slots: number;
   readonly load: loads.UpstreamLoad;
 }
 
 /** An engine that could take a generation. */
 export interface EngineCandidate extends LoadCandidate {
-  /** Its memory, in tokens. */
+  /** Memory of the engine, in tokens. */
   readonly memoryTokens: number;
-  /** What a generation is expected to fill on average, in tokens. */
+  /** Mean memory that a generation is expected to use, in tokens. */
   readonly meanTokens: number;
 }
 
-/** The better of two upstreams of a plain service at random, near ones first while they have places. */
+/**
+ * Chooses the less loaded of two random upstreams of a plain service, from the same zone while
+ * those have free slots.
+ */
 export function chooseByCalls<C extends LoadCandidate>(
   candidates: readonly C[],
   now: number,
   random: () => number,
 ): C | undefined {
   const getShare = (item: C) => getCallShare(item, now);
-  const near = candidates.filter((item) => item.isNear && getShare(item) < NEAR_SHARE_LIMIT);
-  return chooseOfTwo(near.length > 0 ? near : candidates, getShare, random);
+  const sameZone = candidates.filter(
+    (item) => item.isNear && getShare(item) < SAME_ZONE_CALL_LIMIT,
+  );
+  return chooseOfTwo(sameZone.length > 0 ? sameZone : candidates, getShare, random);
 }
 
-/** The better of two engines at random, by the memory that is probably taken; near ones while they have room. */
+/**
+ * Chooses the less loaded of two random engines by estimated memory use, from the same zone while
+ * those have capacity.
+ */
 export function chooseByMemory<C extends EngineCandidate>(
   candidates: readonly C[],
   now: number,
   random: () => number,
 ): C | undefined {
   const getShare = (item: C) => getMemoryShare(item, now);
-  const near = candidates.filter((item) => item.isNear && getShare(item) < NEAR_ENGINE_LIMIT);
-  return chooseOfTwo(near.length > 0 ? near : candidates, getShare, random);
+  const sameZone = candidates.filter(
+    (item) => item.isNear && getShare(item) < SAME_ZONE_MEMORY_LIMIT,
+  );
+  return chooseOfTwo(sameZone.length > 0 ? sameZone : candidates, getShare, random);
 }
 
-/** The share of an engine's memory that is probably taken. */
+/** Returns the estimated share of an engine's memory in use. */
 export function getMemoryShare(item: EngineCandidate, now: number): number {
-  const others = item.load.getActiveCalls(now) - item.load.calls;
-  const taken = item.load.tokens + others * item.meanTokens;
-  return taken / item.memoryTokens + getPenalty(item, now);
+  const otherCalls = item.load.getActiveCalls(now) - item.load.calls;
+  const usedTokens = item.load.tokens + otherCalls * item.meanTokens;
+  return usedTokens / item.memoryTokens + getPenalty(item, now);
 }
 
 function getCallShare(item: LoadCandidate, now: number): number {
@@ -74,7 +87,10 @@
   return item.load.getFailures(now) * FAILURE_PENALTY + (item.isCold ? COLD_PENALTY : 0);
 }
 
-/** Two drawn at random: when every host takes the best of all, all of them run to the same one. */
+/**
+ * Compares two random candidates: if every host chose the best of all, they would all choose the
+ * same one.
+ */
 function chooseOfTwo<C>(
   candidates: readonly C[],
   getShare: (item: C) => number,
--- a/packages/routing/src/memory-growth.ts
+++ b/packages/routing/src/memory-growth.ts
@@ -1,66 +1,79 @@
-import type * as placeNeeds from './placement-spec.js';
+import type * as placementSpecs from './placement-spec.js';
 
-/** Tokens that a running generation makes in a millisecond: one a step of 8 to 16 ms, as the engines' sheets state. */
+/**
+ * Tokens that a running generation produces per millisecond: one per step of 8 to 16 ms, as stated
+ * by the engines' data sheets.
+ */
 const TOKENS_PER_MS = 0.085;
 
-/** How much an answer turns out longer than its caller's estimate on average; the estimate is the median. */
-const MEAN_OVER_HINT = 1.15;
+/** Ratio between the mean length of answers and the caller's estimate, which is the median. */
+const MEAN_OVER_MEDIAN = 1.15;
 
-/** The part of the growth up to the horizon that a generation which has outlived its estimate has on average. */
-const GROWS_ON = 0.5;
+/** Mean share of the growth up to the horizon that a generation beyond its estimate still makes. */
+const LATE_GROWTH_FACTOR = 0.5;
 
-/** What a generation will hold at a horizon, as a line over time that is true for a while. */
+/**
+ * The memory that a generation will hold at a horizon, as a line over time that is valid for a
+ * limited period.
+ */
 export interface LinearForecast {
-  /** What it will hold at the horizon of now, in tokens. */
+  /** Memory at the horizon counted from now, in tokens. */
   readonly tokens: number;
-  /** How much more that is with each millisecond that passes. */
+  /** Increase per millisecond that passes, in tokens. */
   readonly tokensPerMs: number;
-  /** For how long that pace stays, in milliseconds. */
+  /** How long the rate is valid, in milliseconds. */
   readonly validMs: number;
 }
 
 /**
- * What a generation will hold at a horizon when it has run for so long, and how that changes. One that has outlived its
- * estimate goes on growing: lengths are heavy-tailed, so the longest are the ones that fill engines. Taken to stay
- * at the estimate, three of them hid the third part of an engine, and what was placed there waited 7 s in vain.
+ * Forecasts the memory that a generation will hold at a horizon, given how long it has run, and its
+ * growth rate. A generation beyond its estimate is expected to keep growing: lengths are
+ * heavy-tailed, so the longest generations are the ones that fill engines. When they were assumed
+ * to stay at the estimate, three of them hid a third of an engine's memory use, and generations
+ * placed there waited 7 s in vain.
  */
 export function forecastLine(
-  need: placeNeeds.PlacementSpec,
+  spec: placementSpecs.PlacementSpec,
   ranMs: number,
   horizonMs: number,
 ): LinearForecast {
-  const { answerTokens, promptTokens } = need;
-  const expected = answerTokens * MEAN_OVER_HINT;
-  const made = ranMs * TOKENS_PER_MS;
+  const { answerTokens, promptTokens } = spec;
+  const expected = answerTokens * MEAN_OVER_MEDIAN;
+  const produced = ranMs * TOKENS_PER_MS;
   const growth = horizonMs * TOKENS_PER_MS;
-  if (made >= expected) {
-    const tokens = promptTokens + made + growth * GROWS_ON;
+  if (produced >= expected) {
+    const tokens = promptTokens + produced + growth * LATE_GROWTH_FACTOR;
     return { tokens, tokensPerMs: TOKENS_PER_MS, validMs: Infinity };
   }
-  const isDoneByThen = made + growth >= expected;
-  const untilMs = (expected - made) / TOKENS_PER_MS;
-  return isDoneByThen
-    ? { tokens: promptTokens + expected, tokensPerMs: 0, validMs: untilMs }
+  const endsBeforeHorizon = produced + growth >= expected;
+  const remainingMs = (expected - produced) / TOKENS_PER_MS;
+  return endsBeforeHorizon
+    ? { tokens: promptTokens + expected, tokensPerMs: 0, validMs: remainingMs }
     : {
-        tokens: promptTokens + made + growth,
+        tokens: promptTokens + produced + growth,
         tokensPerMs: TOKENS_PER_MS,
-        validMs: untilMs - horizonMs,
+        validMs: remainingMs - horizonMs,
       };
 }
 
-/** What a generation will hold at a horizon, in tokens, when it has run for so long. */
+/**
+ * Returns the memory that a generation will hold at a horizon, in tokens, given how long it has
+ * run.
+ */
 export function forecastTokens(
-  need: placeNeeds.PlacementSpec,
+  spec: placementSpecs.PlacementSpec,
   ranMs: number,
   horizonMs: number,
 ): number {
-  return forecastLine(need, ranMs, horizonMs).tokens;
+  return forecastLine(spec, ranMs, horizonMs).tokens;
 }
 
-/** How long a generation that has run for so long is expected to go on, in milliseconds. */
-export function getRemainingMs(need: placeNeeds.PlacementSpec, ranMs: number): number {
-  const expected = need.answerTokens * MEAN_OVER_HINT;
-  const made = ranMs * TOKENS_PER_MS;
-  const left = made < expected ? expected - made : expected * GROWS_ON;
-  return left / TOKENS_PER_MS;
+/**
+ * Returns the expected remaining time of a generation, in milliseconds, given how long it has run.
+ */
+export function getRemainingMs(spec: placementSpecs.PlacementSpec, ranMs: number): number {
+  const expected = spec.answerTokens * MEAN_OVER_MEDIAN;
+  const produced = ranMs * TOKENS_PER_MS;
+  const remaining = produced < expected ? expected - produced : expected * LATE_GROWTH_FACTOR;
+  return remaining / TOKENS_PER_MS;
 }
--- a/packages/routing/src/migration-scheduler.ts
+++ b/packages/routing/src/migration-scheduler.ts
@@ -1,103 +1,112 @@
 import type * as engineLedgers from './engine-ledger.js';
 
 /**
- * How long one run may take to be handed over before the next one has its turn, in milliseconds: a copy of 0.2 s, twice
- * that across zones, and the stop. Beyond it its host has died or its engine does not answer.
+ * Maximum time of one migration before the next run may start, in milliseconds: 0.2 s for the copy,
+ * twice that across zones, and the stop of the old run. Beyond it the host has crashed or its
+ * engine does not answer.
  */
-const TURN_MS = 1_000;
+const MIGRATION_TIMEOUT_MS = 1_000;
 
-/** Below which remaining time a run is left to end by itself on an engine that leaves, in milliseconds. */
+/**
+ * Remaining time below which a run on a leaving engine migrates last, in milliseconds: it probably
+ * ends in time by itself.
+ */
 const ENDS_SOON_MS = 800;
 
-/** A run that can be handed over, as the host that has its caller offers it. */
+/** A run that can migrate, as offered by the host that serves its caller. */
 export interface MigrationCandidate {
   readonly callId: string;
   readonly engineId: string;
-  /** Engines that had no room for it. */
+  /** Engines that had no capacity for it. */
   readonly excluded: readonly string[];
-  /** Until when the host waits for an answer. */
+  /** Time until which the host waits for an answer. */
   readonly expiresAt: number;
 }
 
-/** What a host is told about a run that it offered. */
+/** The answer to a host about a run that it offered. */
 export interface MigrationDecision<R extends MigrationCandidate> {
   readonly run: R;
-  /** The engine that takes it over now; nothing when its wait is over. */
+  /** The engine to which the run migrates now; `undefined` if its wait is over. */
   readonly targetEngineId: string | undefined;
 }
 
-interface Turn {
+interface ActiveMigration {
   readonly engineId: string;
   readonly endsAt: number;
 }
 
 /**
- * Which run is handed over next, from where and where to. An engine has one link, so copies that are ordered
- * at once all come late, and the last small part of each, for which its stream stands still, queues behind whole
- * copies of the others: pauses of 0.3 to 0.7 s. In turn each takes its own time only, and the pause is a few events.
+ * Schedules which run migrates next, from which engine and to which. An engine has a single link,
+ * so copies that are started at once all finish late, and the last small part of each, during which
+ * its stream stops, queues behind whole copies of other runs: pauses of 0.3 to 0.7 s. One at a
+ * time, each copy takes only its own time, and the pause is a few events.
  */
 export class MigrationScheduler<R extends MigrationCandidate = MigrationCandidate> {
-  /** In the order in which their waits end. */
-  private readonly offered = new Map<string, R>();
+  /** Ordered by the end of their waits. */
+  private readonly candidates = new Map<string, R>();
   private readonly byEngine = new Map<string, Map<string, R>>();
-  private readonly turns = new Map<string, Turn>();
+  private readonly migrations = new Map<string, ActiveMigration>();
 
   public constructor(private readonly ledger: engineLedgers.EngineLedger) {}
 
-  /** How many runs could be handed over. */
+  /** Number of runs that can migrate. */
   public get size(): number {
-    return this.offered.size;
+    return this.candidates.size;
   }
 
-  /** Offers a run, or the same run anew; all hosts wait equally long, so the last offer's wait ends last. */
+  /**
+   * Offers a run, or offers it again. All hosts wait equally long, so the wait of the last offer
+   * ends last.
+   */
   public offer(run: R): void {
-    this.drop(run.callId);
-    this.offered.set(run.callId, run);
-    const known = this.byEngine.get(run.engineId) ?? new Map<string, R>();
-    this.byEngine.set(run.engineId, known.set(run.callId, run));
+    this.removeCandidate(run.callId);
+    this.candidates.set(run.callId, run);
+    const candidates = this.byEngine.get(run.engineId) ?? new Map<string, R>();
+    this.byEngine.set(run.engineId, candidates.set(run.callId, run));
   }
 
-  /** Ends a run's turn: it was handed over, or is not. */
+  /** Ends the migration of a run, whether it took place or not. */
   public endMigration(callId: string): void {
-    this.turns.delete(callId);
+    this.migrations.delete(callId);
   }
 
-  /** Takes a run back that is over; gives it when its host still waits for an answer. */
+  /** Removes a run that is over. Returns it if its host still waits for an answer. */
   public withdraw(callId: string): R | undefined {
-    this.turns.delete(callId);
-    return this.drop(callId);
+    this.migrations.delete(callId);
+    return this.removeCandidate(callId);
   }
 
-  /** Whether some run is being handed over now. */
+  /** Whether a migration is in progress. */
   public isMigrating(): boolean {
-    return this.turns.size > 0;
+    return this.migrations.size > 0;
   }
 
-  /** The runs whose turn begins now, and those whose hosts have waited long enough. */
+  /** Returns the runs that start to migrate now, and those whose hosts have waited long enough. */
   public dispatch(now: number): MigrationDecision<R>[] {
-    this.turns.forEach(({ endsAt }, callId) => {
+    this.migrations.forEach(({ endsAt }, callId) => {
       if (now >= endsAt) {
-        // Whether the copy was made is not known; the run is better copied twice than left without one.
-        this.turns.delete(callId);
+        // It is unknown whether the copy was made; copying the run twice is better than leaving it
+        // without a copy.
+        this.migrations.delete(callId);
         this.ledger.setBackup(callId, undefined);
       }
     });
-    return [...this.leaveEngines(now), ...this.endWaits(now)];
+    return [...this.startMigrations(now), ...this.expireWaits(now)];
   }
 
-  /** Of each engine that leaves, one run at a time. */
-  private leaveEngines(now: number): MigrationDecision<R>[] {
+  /** Starts the migration of one run at a time from each leaving engine. */
+  private startMigrations(now: number): MigrationDecision<R>[] {
     return [...this.byEngine]
-      .filter(([engineId]) => !this.ledger.isListed(engineId) && !this.isSending(engineId))
+      .filter(([engineId]) => !this.ledger.isListed(engineId) && !this.hasActiveMigration(engineId))
       .map(([, runs]) => [...runs.values()].filter(({ callId }) => !this.ledger.hasBackup(callId)))
-      .flatMap((runs) => this.leaveFirst(runs, now));
+      .flatMap((runs) => this.startNext(runs, now));
   }
 
   /**
-   * The smallest first, so that as many as possible are through before the engine is gone. Those that end by
-   * themselves in that time go last.
+   * Prefers small runs, so that as many as possible finish before the engine is gone. Runs that
+   * will probably end by themselves in that time come last.
    */
-  private leaveFirst(runs: readonly R[], now: number): MigrationDecision<R>[] {
+  private startNext(runs: readonly R[], now: number): MigrationDecision<R>[] {
     const ranked = runs
       .map((run) => ({
         run,
@@ -106,38 +115,43 @@
       }))
       .sort((a, b) => Number(a.endsSoon) - Number(b.endsSoon) || a.tokens - b.tokens);
     for (const { run } of ranked) {
-      const takerId = this.ledger.reassignBackup(run.callId, run.engineId, run.excluded, now);
-      if (takerId !== undefined) {
-        return [this.begin(run, takerId, now)];
+      const targetEngineId = this.ledger.reassignBackup(
+        run.callId,
+        run.engineId,
+        run.excluded,
+        now,
+      );
+      if (targetEngineId !== undefined) {
+        return [this.start(run, targetEngineId, now)];
       }
     }
     return [];
   }
 
-  private endWaits(now: number): MigrationDecision<R>[] {
+  private expireWaits(now: number): MigrationDecision<R>[] {
     const settled: MigrationDecision<R>[] = [];
-    for (const run of this.offered.values()) {
+    for (const run of this.candidates.values()) {
       if (now < run.expiresAt) {
         break;
       }
-      this.drop(run.callId);
+      this.removeCandidate(run.callId);
       settled.push({ run, targetEngineId: undefined });
     }
     return settled;
   }
 
-  private begin(run: R, takerId: string, now: number): MigrationDecision<R> {
-    this.drop(run.callId);
-    this.turns.set(run.callId, { engineId: run.engineId, endsAt: now + TURN_MS });
-    return { run, targetEngineId: takerId };
+  private start(run: R, targetEngineId: string, now: number): MigrationDecision<R> {
+    this.removeCandidate(run.callId);
+    this.migrations.set(run.callId, { engineId: run.engineId, endsAt: now + MIGRATION_TIMEOUT_MS });
+    return { run, targetEngineId };
   }
 
-  private drop(callId: string): R | undefined {
-    const run = this.offered.get(callId);
+  private removeCandidate(callId: string): R | undefined {
+    const run = this.candidates.get(callId);
     if (run === undefined) {
       return undefined;
     }
-    this.offered.delete(callId);
+    this.candidates.delete(callId);
     const others = this.byEngine.get(run.engineId);
     others?.delete(callId);
     if (others?.size === 0) {
@@ -146,7 +160,7 @@
     return run;
   }
 
-  private isSending(engineId: string): boolean {
-    return [...this.turns.values()].some((turn) => turn.engineId === engineId);
+  private hasActiveMigration(engineId: string): boolean {
+    return [...this.migrations.values()].some((migration) => migration.engineId === engineId);
   }
 }
--- a/packages/routing/src/placed-run.ts
+++ b/packages/routing/src/placed-run.ts
@@ -1,13 +1,13 @@
-import type * as placeNeeds from './placement-spec.js';
+import type * as placementSpecs from './placement-spec.js';
 
 /** A generation that was placed. */
 export interface PlacedRun {
-  readonly spec: placeNeeds.PlacementSpec;
+  readonly spec: placementSpecs.PlacementSpec;
   readonly startedAt: number;
   readonly expiresAt: number;
   readonly engineId: string;
-  /** The availability zone of its engine, which may no longer be listed when it leaves. */
+  /** Availability zone of its engine, which may no longer be listed when the run migrates. */
   readonly zone: string | undefined;
-  /** The engine that keeps a copy of its memory. */
+  /** The engine that keeps its KV-cache backup. */
   backupEngineId: string | undefined;
 }
--- a/packages/routing/src/placement-limits.ts
+++ b/packages/routing/src/placement-limits.ts
@@ -1,8 +1,11 @@
 /**
- * How far ahead memory is forecast, in milliseconds. What is placed now grows for some ten seconds while others
- * end; further ahead the ends outweigh the growth.
+ * Horizon of the memory forecast, in milliseconds. A newly placed generation grows for about ten
+ * seconds while others end; beyond this horizon the ends outweigh the growth.
  */
 export const HORIZON_MS = 3_000;
 
-/** The forecast share of memory up to which generations are placed; the rest is for answers longer than told. */
+/**
+ * Forecast share of an engine's memory up to which generations are placed; the rest is reserved for
+ * answers longer than estimated.
+ */
 export const PLACEMENT_LIMIT = 0.92;
--- a/packages/routing/src/placement-queue.ts
+++ b/packages/routing/src/placement-queue.ts
@@ -1,100 +1,109 @@
 import type * as engineLedgers from './engine-ledger.js';
-import * as placeNeeds from './placement-spec.js';
+import * as placementSpecs from './placement-spec.js';
 
-/** A generation that waits for a place. */
+/** A generation that waits for placement. */
 export interface QueuedPlacement {
-  readonly spec: placeNeeds.PlacementSpec;
-  /** When its first event is due. */
+  readonly spec: placementSpecs.PlacementSpec;
+  /** Time at which its first event is due. */
   readonly dueAt: number;
-  /** Its rank; 0 goes first among those that are late anyway. */
+  /** Priority among those that are already late; 0 comes first. */
   readonly priority: number;
-  /** Until when it may wait. */
+  /** Time until which it may wait. */
   readonly expiresAt: number;
 }
 
-/** What became of one that waited. */
+/** The outcome for a generation that waited. */
 export interface SettledPlacement<Q extends QueuedPlacement> {
   readonly queued: Q;
-  /** Nothing when its wait is over and no engine has room. */
-  readonly placed: placeNeeds.Placement | undefined;
+  /** `undefined` if its wait is over and no engine has capacity. */
+  readonly placed: placementSpecs.Placement | undefined;
 }
 
 /**
- * Generations that wait for a place in one pool: earliest due date first, as late as possible. Bound to an engine when
- * they came, prompts all ran to the one that had just started and waited 2 to 6 s there, while other engines got room
- * within tenths of a second. One whose first event is late anyway waits behind those that can still be on time.
+ * Queues the generations that wait for placement in one pool: earliest due date first, placed as
+ * late as possible. When prompts were bound to an engine on arrival, all of them went to the one
+ * that had just started and waited there for 2 to 6 s, while other engines got free capacity within
+ * tenths of a second. A generation whose first event is already late waits behind those that can
+ * still be on time.
  */
 export class PlacementQueue<Q extends QueuedPlacement = QueuedPlacement> {
   private waiting: Q[] = [];
 
   public constructor(private readonly ledger: engineLedgers.EngineLedger) {}
 
-  /** How many wait. */
+  /** Number of waiting generations. */
   public get size(): number {
     return this.waiting.length;
   }
 
-  /** Puts one in. */
+  /** Adds a generation. */
   public add(queued: Q): void {
     this.waiting.push(queued);
   }
 
-  /** Places what can be placed now, and gives up on those whose wait is over. */
+  /** Places all that can be placed now, and settles those whose wait is over. */
   public dispatch(now: number): SettledPlacement<Q>[] {
     const settled: SettledPlacement<Q>[] = [];
-    const left: Q[] = [];
-    const tooLarge = new TooLarge(this.ledger);
+    const remaining: Q[] = [];
+    const failedSizes = new FailedSizes(this.ledger);
     [...this.sort(now)].forEach((queued) => {
       const isOver = now >= queued.expiresAt;
-      const isHopeless = !isOver && tooLarge.has(queued.spec);
-      const placed = isHopeless ? undefined : this.ledger.place(queued.spec, now, !isOver);
+      const cannotFit = !isOver && failedSizes.has(queued.spec);
+      const placed = cannotFit ? undefined : this.ledger.place(queued.spec, now, !isOver);
       if (placed !== undefined || isOver) {
         settled.push({ queued, placed });
       } else {
-        left.push(queued);
-        tooLarge.note(queued.spec);
+        remaining.push(queued);
+        failedSizes.record(queued.spec);
       }
     });
-    this.waiting = left;
+    this.waiting = remaining;
     return settled;
   }
 
   private sort(now: number): Q[] {
-    const startBy = (queued: Q) =>
+    const getLatestStart = (queued: Q) =>
       queued.dueAt - this.ledger.getPrefillMs(queued.spec.promptTokens);
-    const isLate = (queued: Q) => Number(startBy(queued) < now);
-    const lateRank = (queued: Q) => isLate(queued) * queued.priority;
+    const isLate = (queued: Q) => Number(getLatestStart(queued) < now);
+    const getLatePriority = (queued: Q) => isLate(queued) * queued.priority;
     return this.waiting.sort(
-      (a, b) => isLate(a) - isLate(b) || lateRank(a) - lateRank(b) || startBy(a) - startBy(b),
+      (a, b) =>
+        isLate(a) - isLate(b) ||
+        getLatePriority(a) - getLatePriority(b) ||
+        getLatestStart(a) - getLatestStart(b),
     );
   }
 }
 
 /**
- * What has just found no room: whatever needs as much finds none at that moment either. With hundreds that wait, each
- * looking at every engine every few milliseconds, the account would do nothing else.
+ * Remembers the sizes that just found no capacity: a generation that needs as much finds none at
+ * that moment either. With hundreds of waiting generations, each checked against every engine every
+ * few milliseconds, the leader would have no time for anything else.
  */
-class TooLarge {
+class FailedSizes {
   private readonly byKind = new Map<boolean, number>();
 
   public constructor(private readonly ledger: engineLedgers.EngineLedger) {}
 
-  /** Whether a generation needs as much as one that found no room. */
-  public has(need: placeNeeds.PlacementSpec): boolean {
-    if (need.fixedEngineId !== undefined) {
+  /** Whether a generation needs as much as one that found no capacity. */
+  public has(spec: placementSpecs.PlacementSpec): boolean {
+    if (spec.fixedEngineId !== undefined) {
       return false;
     }
-    const least = this.byKind.get(placeNeeds.hasShortAnswer(need)) ?? Infinity;
-    return this.ledger.getTokensNeeded(need) >= least;
+    const smallest = this.byKind.get(placementSpecs.hasShortAnswer(spec)) ?? Infinity;
+    return this.ledger.getTokensNeeded(spec) >= smallest;
   }
 
-  /** Notes one that found no room; where engines are excluded for it that says nothing of others. */
-  public note(need: placeNeeds.PlacementSpec): void {
-    if (need.excluded.length > 0) {
+  /**
+   * Records a generation that found no capacity. One with excluded engines is ignored, since it
+   * says nothing about others.
+   */
+  public record(spec: placementSpecs.PlacementSpec): void {
+    if (spec.excluded.length > 0) {
       return;
     }
-    const kind = placeNeeds.hasShortAnswer(need);
-    const least = this.byKind.get(kind) ?? Infinity;
-    this.byKind.set(kind, Math.min(least, this.ledger.getTokensNeeded(need)));
+    const kind = placementSpecs.hasShortAnswer(spec);
+    const smallest = this.byKind.get(kind) ?? Infinity;
+    this.byKind.set(kind, Math.min(smallest, this.ledger.getTokensNeeded(spec)));
   }
 }
--- a/packages/routing/src/placement-spec.ts
+++ b/packages/routing/src/placement-spec.ts
@@ -1,54 +1,63 @@
 /** An engine that may be given work. */
 export interface LedgerEngine {
   readonly engineId: string;
-  /** When its process started, where it is told; a later start under the same name holds nothing of before. */
+  /**
+   * Start time of its process, if reported. A later start under the same name means that all
+   * earlier runs and backups are gone.
+   */
   readonly bornMs?: number | undefined;
   readonly memoryTokens: number;
   readonly slots: number;
   readonly availabilityZone: string;
-  /** The new generations a second that it bears at any time, and while it is cold; without limits where it is not told. */
+  /**
+   * New generations per second that it sustains, always (`most`) and while it is cold; unlimited if
+   * not declared.
+   */
   readonly sendsPerS?: { readonly most: number; readonly cold: number } | undefined;
-  /** Until when it is known to be cold. */
+  /** Time until which it is known to be cold. */
   readonly coldUntil?: number;
-  /** Set where nothing new may be sent; what runs there goes on to its end. */
+  /** Set if no new work may be sent; its runs continue to their end. */
   readonly isClosed?: boolean;
 }
 
-/** A generation that is to be placed. */
+/** A generation to be placed. */
 export interface PlacementSpec {
   readonly callId: string;
-  /** The availability zone of the entry host that has the caller. */
+  /** Availability zone of the entry host that serves the caller. */
   readonly availabilityZone: string;
   readonly promptTokens: number;
-  /** The estimate of the answer's tokens. */
+  /** Estimated number of tokens of the answer. */
   readonly answerTokens: number;
-  /** The most time that it may still take, in milliseconds. */
+  /** Maximum remaining time, in milliseconds. */
   readonly leftMs: number;
   readonly excluded: readonly string[];
-  /** The engine on which it goes on or runs already; it is entered there whatever the room. */
+  /**
+   * The engine on which it resumes or already runs; it is recorded there regardless of capacity.
+   */
   readonly fixedEngineId?: string | undefined;
-  /** Set where it runs there already and is only told, so that nothing is sent now. */
+  /** Set if it already runs there and is only reported, so that nothing is sent now. */
   readonly isUnderWay?: boolean | undefined;
   readonly wantsCopy: boolean;
-  /** How long it has run already, in milliseconds. */
+  /** How long it has already run, in milliseconds. */
   readonly ranMs: number;
 }
 
-/** Where a generation was placed, and who keeps its copy. */
+/** The engine on which a generation was placed, and the one that keeps its backup. */
 export interface Placement {
   readonly engineId: string;
   readonly copyAt: string | undefined;
-  /** The forecast share of the engine's memory, with this generation. */
+  /** Forecast share of the engine's memory, including this generation. */
   readonly share: number;
 }
 
 /**
- * Up to how many tokens an answer is short. Short ones take under half a second: few are hit by the loss of an
- * engine, and copies arrive only several times a second, so none is kept.
+ * Maximum number of tokens of a short answer. Short answers take less than half a second: the loss
+ * of an engine affects few of them, and backups are updated only several times a second, so none is
+ * kept.
  */
 export const SHORT_ANSWER_TOKENS = 60;
 
-/** Whether a generation's answer is short. */
-export function hasShortAnswer(need: PlacementSpec): boolean {
-  return need.answerTokens <= SHORT_ANSWER_TOKENS;
+/** Whether the answer of a generation is short. */
+export function hasShortAnswer(spec: PlacementSpec): boolean {
+  return spec.answerTokens <= SHORT_ANSWER_TOKENS;
 }
--- a/packages/routing/src/pool-ledger.ts
+++ b/packages/routing/src/pool-ledger.ts
@@ -3,182 +3,203 @@
 import * as lengthModels from './length-model.js';
 import * as liveGenerations from './live-generation.js';
 import type * as types from './types.js';
-import * as rooms from './upstream-ledger.js';
+import * as upstreamLedgers from './upstream-ledger.js';
 
-/** How long progress of a daemon may be missing before its generations leave the account. */
-const SILENT_MS = 10_000;
+/**
+ * Time without progress reports from a daemon after which its generations are removed, in
+ * milliseconds.
+ */
+const REPORT_TIMEOUT_MS = 10_000;
 
-/** How long after its grant a generation that its daemon does not name is still expected, in milliseconds. */
-const FORGOTTEN_MS = 5_000;
+/**
+ * Time after its grant during which a generation may be missing from its daemon's reports, in
+ * milliseconds.
+ */
+const UNREPORTED_GRACE_MS = 5_000;
 
-/** What an account is made of. */
+/** Options of a pool ledger. */
 export interface PoolLedgerOptions {
   readonly clock: schemas.Clock;
-  /** Tokens of an engine's memory that the pool's intents may fill. */
+  /** Memory per engine that the pool's intents may fill, in tokens. */
   readonly capacityTokens: number;
-  /** Where lengths are learned; an oracle may stand in. */
+  /** Source of the length distributions; an oracle may replace the learned ones. */
   readonly lengths?: lengthModels.LengthSource;
-  /** Told what a team was granted (positive), or granted and did not use (negative). */
+  /** Called with the cost granted to a team (positive), or granted and not used (negative). */
   readonly charge: (team: string, cost: number) => void;
 }
 
-/** What runs on the engines of a pool, as far as its owner knows, and how their memory will fill. */
+/**
+ * Tracks what runs on the engines of a pool, as far as the owner knows, and forecasts their memory.
+ */
 export class PoolLedger {
-  private readonly rooms = new Map<string, rooms.UpstreamLedger>();
+  private readonly upstreams = new Map<string, upstreamLedgers.UpstreamLedger>();
   private readonly lengths: lengthModels.LengthSource;
-  private readonly running = new Map<string, number>();
-  private readonly heardAt = new Map<string, number>();
+  private readonly runningByTeam = new Map<string, number>();
+  private readonly reportedAt = new Map<string, number>();
   private readonly costs = new Map<string, number>();
 
   public constructor(private readonly options: PoolLedgerOptions) {
     this.lengths = options.lengths ?? new lengthModels.LengthModel();
   }
 
-  /** Every engine of the pool. */
-  public listUpstreams(): rooms.UpstreamLedger[] {
-    return [...this.rooms.values()];
+  /** Returns the ledgers of all engines of the pool. */
+  public listUpstreams(): upstreamLedgers.UpstreamLedger[] {
+    return [...this.upstreams.values()];
   }
 
-  /** How many generations of a team run. */
+  /** Returns the number of running generations of a team. */
   public countRunning(team: string): number {
-    return this.running.get(team) ?? 0;
+    return this.runningByTeam.get(team) ?? 0;
   }
 
-  /** Sets which upstreams there are; gives those that are gone. */
+  /** Sets the upstreams of the pool. Returns the ids of those that were removed. */
   public setUpstreams(upstreams: readonly { upstreamId: string; isLeaving: boolean }[]): string[] {
     const ids = new Set(upstreams.map((item) => item.upstreamId));
-    const gone = [...this.rooms.keys()].filter((id) => !ids.has(id));
-    gone.forEach((id) => this.dropUpstream(id));
+    const gone = [...this.upstreams.keys()].filter((id) => !ids.has(id));
+    gone.forEach((id) => this.removeUpstream(id));
     upstreams.forEach(({ upstreamId, isLeaving }) => {
-      const known = this.rooms.get(upstreamId);
-      const room = known ?? new rooms.UpstreamLedger(upstreamId, this.options.capacityTokens);
-      room.isLeaving = isLeaving;
-      this.rooms.set(upstreamId, room);
+      const existing = this.upstreams.get(upstreamId);
+      const upstream =
+        existing ?? new upstreamLedgers.UpstreamLedger(upstreamId, this.options.capacityTokens);
+      upstream.isLeaving = isLeaving;
+      this.upstreams.set(upstreamId, upstream);
     });
     return gone;
   }
 
-  /** Notes the first sign that an upstream is leaving, whoever saw it. */
+  /** Marks an upstream as leaving, at the first sign from any source. */
   public markLeaving(upstreamId: string): void {
-    const room = this.rooms.get(upstreamId);
-    if (room !== undefined) {
-      room.isLeaving = true;
+    const upstream = this.upstreams.get(upstreamId);
+    if (upstream !== undefined) {
+      upstream.isLeaving = true;
     }
   }
 
-  /** Takes an upstream's load report. */
+  /** Applies a load report of an upstream. */
   public applyReport(upstreamId: string, report: schemas.LoadReport): void {
-    this.rooms.get(upstreamId)?.applyReport(report, this.options.clock.now());
+    this.upstreams.get(upstreamId)?.applyReport(report, this.options.clock.now());
   }
 
-  /** What a request is expected to cost its team, in tokens. */
+  /** Returns the expected cost of a request to its team, in tokens. */
   public getCost(req: types.GrantRequest): number {
     const distribution = this.lengths.get(req.team, req.workClass);
     return req.promptTokens + distribution.getMeanRemaining(0, req.maxTokens);
   }
 
   /** Adds a generation that was granted. */
-  public admit(room: rooms.UpstreamLedger, facts: types.RunningGeneration, cost: number): void {
+  public admit(
+    upstream: upstreamLedgers.UpstreamLedger,
+    facts: types.RunningGeneration,
+    cost: number,
+  ): void {
     const now = this.options.clock.now();
-    room.add(this.createGeneration(facts));
-    this.running.set(facts.team, this.countRunning(facts.team) + 1);
+    upstream.add(this.createGeneration(facts));
+    this.runningByTeam.set(facts.team, this.countRunning(facts.team) + 1);
     this.costs.set(facts.generation, cost);
-    this.heardAt.set(facts.daemonId, this.heardAt.get(facts.daemonId) ?? now);
+    this.reportedAt.set(facts.daemonId, this.reportedAt.get(facts.daemonId) ?? now);
     this.options.charge(facts.team, cost);
   }
 
-  /** Learns a generation that a former owner granted, or a daemon alone. */
+  /** Adds a generation that was granted by a former owner or by a daemon alone. */
   public register(facts: types.RunningGeneration): void {
-    const room = this.rooms.get(facts.upstreamId);
-    if (room === undefined || room.generations.has(facts.generation)) {
+    const upstream = this.upstreams.get(facts.upstreamId);
+    if (upstream === undefined || upstream.generations.has(facts.generation)) {
       return;
     }
-    this.heardAt.set(facts.daemonId, this.options.clock.now());
-    this.admit(room, facts, facts.promptTokens);
+    this.reportedAt.set(facts.daemonId, this.options.clock.now());
+    this.admit(upstream, facts, facts.promptTokens);
   }
 
-  /** Takes the tokens so far of all generations of a daemon. */
+  /** Applies the token counts that a daemon reports for all its generations. */
   public applyProgress(batch: types.ProgressBatch): void {
     const now = this.options.clock.now();
-    const sinceMs = now - (this.heardAt.get(batch.daemonId) ?? now);
-    this.heardAt.set(batch.daemonId, now);
+    const sinceMs = now - (this.reportedAt.get(batch.daemonId) ?? now);
+    this.reportedAt.set(batch.daemonId, now);
     const tokens = new Map(batch.tokens);
-    this.rooms.forEach((room) => {
-      const moved = [...room.generations.values()].filter((item) =>
+    this.upstreams.forEach((upstream) => {
+      const progressed = [...upstream.generations.values()].filter((item) =>
         tokens.has(item.facts.generation),
       );
       let gained = 0;
-      moved.forEach((item) => {
+      progressed.forEach((item) => {
         const before = item.tokens;
         item.advance(tokens.get(item.facts.generation) ?? 0, now);
         gained += item.tokens - before;
       });
-      if (moved.length > 0 && sinceMs > 0) {
-        room.recordSpeed((gained * 1_000) / (sinceMs * moved.length));
+      if (progressed.length > 0 && sinceMs > 0) {
+        upstream.recordSpeed((gained * 1_000) / (sinceMs * progressed.length));
       }
     });
-    this.dropForgotten(batch.daemonId, tokens, now);
+    this.removeUnreported(batch.daemonId, tokens, now);
   }
 
-  /** Takes a generation off the account; false when it is not there. */
+  /** Removes a generation. Returns false if there is no such generation. */
   public finish(generation: string, tokens: number, isNatural: boolean): boolean {
-    const room = this.listUpstreams().find((item) => item.generations.has(generation));
+    const upstream = this.listUpstreams().find((item) => item.generations.has(generation));
     const now = this.options.clock.now();
-    const live = room?.remove(generation);
+    const live = upstream?.remove(generation);
     if (live === undefined) {
       return false;
     }
     live.end(tokens, isNatural, now);
     const { team, promptTokens } = live.facts;
-    this.running.set(team, this.countRunning(team) - 1);
+    this.runningByTeam.set(team, this.countRunning(team) - 1);
     this.options.charge(team, promptTokens + tokens - (this.costs.get(generation) ?? 0));
     this.costs.delete(generation);
     return true;
   }
 
-  /** Brings the forecasts up to date, and drops what belongs to daemons that are gone. */
+  /** Updates the forecasts, and removes the generations of daemons that no longer report. */
   public refresh(): void {
-    this.dropSilentDaemons();
+    this.removeSilentDaemons();
     const now = this.options.clock.now();
-    this.rooms.forEach((room) => {
-      room.rebuild(now);
-      room.recordSample(now);
+    this.upstreams.forEach((upstream) => {
+      upstream.rebuild(now);
+      upstream.recordSample(now);
     });
   }
 
-  /** A generation as the forecasts see it. */
+  /** Creates a generation for the forecasts. */
   public createGeneration(facts: types.RunningGeneration): liveGenerations.LiveGeneration {
     const distribution = this.lengths.get(facts.team, facts.workClass);
     return new liveGenerations.LiveGeneration(facts, distribution, this.options.clock.now());
   }
 
-  private dropUpstream(upstreamId: string): void {
-    const room = this.rooms.get(upstreamId);
-    room?.generations.forEach((item) => this.finish(item.facts.generation, item.tokens, false));
-    this.rooms.delete(upstreamId);
-  }
-
-  /** A message that told of an end may be lost; the generation would hold room for ever. */
-  private dropForgotten(daemonId: string, told: ReadonlyMap<string, number>, now: number): void {
-    this.rooms.forEach((room) => {
-      [...room.generations.values()]
-        .filter((item) => item.facts.daemonId === daemonId && !told.has(item.facts.generation))
-        .filter((item) => now - item.grantedAt > FORGOTTEN_MS)
+  private removeUpstream(upstreamId: string): void {
+    const upstream = this.upstreams.get(upstreamId);
+    upstream?.generations.forEach((item) => this.finish(item.facts.generation, item.tokens, false));
+    this.upstreams.delete(upstreamId);
+  }
+
+  /**
+   * The message about an end may be lost; without this the generation would use capacity forever.
+   */
+  private removeUnreported(
+    daemonId: string,
+    reported: ReadonlyMap<string, number>,
+    now: number,
+  ): void {
+    this.upstreams.forEach((upstream) => {
+      [...upstream.generations.values()]
+        .filter((item) => item.facts.daemonId === daemonId && !reported.has(item.facts.generation))
+        .filter((item) => now - item.grantedAt > UNREPORTED_GRACE_MS)
         .forEach((item) => this.finish(item.facts.generation, item.tokens, false));
     });
   }
 
-  private dropSilentDaemons(): void {
+  private removeSilentDaemons(): void {
     const now = this.options.clock.now();
     const silent = new Set(
-      [...this.heardAt].filter(([, at]) => now - at > SILENT_MS).map(([daemonId]) => daemonId),
+      [...this.reportedAt]
+        .filter(([, at]) => now - at > REPORT_TIMEOUT_MS)
+        .map(([daemonId]) => daemonId),
     );
     if (silent.size === 0) {
       return;
     }
-    silent.forEach((daemonId) => this.heardAt.delete(daemonId));
-    this.rooms.forEach((room) => {
-      [...room.generations.values()]
+    silent.forEach((daemonId) => this.reportedAt.delete(daemonId));
+    this.upstreams.forEach((upstream) => {
+      [...upstream.generations.values()]
         .filter((item) => silent.has(item.facts.daemonId))
         .forEach((item) => this.finish(item.facts.generation, item.tokens, false));
     });
--- a/packages/routing/src/pool-owner.ts
+++ b/packages/routing/src/pool-owner.ts
@@ -3,87 +3,90 @@
 
 import * as fairQueues from './fair-queue.js';
 import type * as lengthModels from './length-model.js';
-import * as accounts from './pool-ledger.js';
+import * as poolLedgers from './pool-ledger.js';
 import * as affinities from './prefix-affinity.js';
 import type * as types from './types.js';
-import * as choices from './upstream-selector.js';
-import type * as rooms from './upstream-ledger.js';
+import type * as upstreamLedgers from './upstream-ledger.js';
+import * as upstreamSelectors from './upstream-selector.js';
 
-/** How many heads of lines are tried when the first does not fit. */
-const MAX_TRIED = 16;
+/** Maximum number of queue heads tried when the first does not fit. */
+const MAX_HEADS_TRIED = 16;
 
-/** The share of an upstream's memory that interactive work may hold while drafts wait long. */
+/** Share of an upstream's memory that interactive work may hold while aged batch work waits. */
 const INTERACTIVE_SHARE = 0.5;
 
-/** How long interactive work waits for room before it goes to an engine that is full, in milliseconds. */
+/**
+ * Time that interactive work waits for capacity before it is sent to a full engine, in
+ * milliseconds.
+ */
 const URGENT_AFTER_MS = 200;
 
-/** What a refused caller is told to wait, per request of its team ahead of it, in seconds. */
+/** Retry delay reported with a refusal, in seconds per waiting request of the same team. */
 const RETRY_S_PER_WAITING = 0.05;
 
-/** What a pool owner is made of. */
+/** Options of a pool owner. */
 export interface PoolOwnerOptions {
   readonly clock: schemas.Clock;
   readonly overflowRisk: number;
-  /** Tokens of an engine's memory that the pool's intents may fill. */
+  /** Memory per engine that the pool's intents may fill, in tokens. */
   readonly capacityTokens: number;
   readonly getShare: (team: string) => types.TeamShare;
-  /** Where lengths are learned; an oracle may stand in. */
+  /** Source of the length distributions; an oracle may replace the learned ones. */
   readonly lengths?: lengthModels.LengthSource;
   readonly createSelector?: (
     quantile: number,
     affinity: affinities.PrefixAffinity,
-  ) => choices.UpstreamSelector;
+  ) => upstreamSelectors.UpstreamSelector;
 }
 
-interface Ticket extends fairQueues.QueuedRequest {
+interface PendingRequest extends fairQueues.QueuedRequest {
   readonly decide: (decision: types.GrantDecision) => void;
 }
 
-/** The queue and the account of room of one pool: the engines of one model in one availability zone. */
+/** Owns the queue and the ledger of one pool: the engines of one model in one availability zone. */
 export class PoolOwner {
   public readonly affinity = new affinities.PrefixAffinity();
-  private readonly account: accounts.PoolLedger;
+  private readonly ledger: poolLedgers.PoolLedger;
   private readonly queue: fairQueues.FairQueue;
-  private readonly choice: choices.UpstreamSelector;
-  private readonly tickets = new Map<string, Ticket>();
+  private readonly selector: upstreamSelectors.UpstreamSelector;
+  private readonly pending = new Map<string, PendingRequest>();
   private isBatchAged = false;
 
   public constructor(private readonly options: PoolOwnerOptions) {
     const quantile = statistics.probit(1 - options.overflowRisk);
     this.queue = new fairQueues.FairQueue((team) => options.getShare(team).weight);
-    this.account = new accounts.PoolLedger({
+    this.ledger = new poolLedgers.PoolLedger({
       ...options,
       charge: (team, cost) => this.queue.charge(team, cost),
     });
-    this.choice =
+    this.selector =
       options.createSelector?.(quantile, this.affinity) ??
-      new choices.OverflowAwareSelector(quantile, this.affinity);
+      new upstreamSelectors.OverflowAwareSelector(quantile, this.affinity);
   }
 
-  /** Sets which upstreams the pool has; those that left get nothing more. */
+  /** Sets the upstreams of the pool; removed ones are given nothing more. */
   public setUpstreams(upstreams: readonly { upstreamId: string; isLeaving: boolean }[]): void {
-    const gone = this.account.setUpstreams(upstreams);
+    const gone = this.ledger.setUpstreams(upstreams);
     gone.forEach((id) => this.affinity.forget(id));
-    this.pump();
+    this.grantAll();
   }
 
-  /** Notes the first sign that an upstream is leaving, whoever saw it. */
+  /** Marks an upstream as leaving, at the first sign from any source. */
   public markLeaving(upstreamId: string): void {
-    this.account.markLeaving(upstreamId);
+    this.ledger.markLeaving(upstreamId);
   }
 
-  /** Takes an upstream's load report. */
+  /** Applies a load report of an upstream. */
   public applyReport(upstreamId: string, report: schemas.LoadReport): void {
-    this.account.applyReport(upstreamId, report);
-    this.pump();
+    this.ledger.applyReport(upstreamId, report);
+    this.grantAll();
   }
 
-  /** Asks for room; `decide` is called once, now or later. */
+  /** Requests capacity. Calls `decide` once, now or later, unless the request is withdrawn. */
   public request(req: types.GrantRequest, decide: (decision: types.GrantDecision) => void): void {
     const share = this.options.getShare(req.team);
     const waiting = this.queue.countWaiting(req.team);
-    const running = this.account.countRunning(req.team);
+    const running = this.ledger.countRunning(req.team);
     if (running + waiting >= share.maxConcurrent + share.maxQueued) {
       decide(this.refuse('too-many', req, 0));
       return;
@@ -92,80 +95,85 @@
       decide(this.refuse('queue-full', req, 0));
       return;
     }
-    // Every upstream has refused it already: waiting would only put the final answer off.
-    const all = this.account.listUpstreams();
-    if (all.length > 0 && all.every((room) => req.excluded.includes(room.upstreamId))) {
+    // Every upstream has already refused it; waiting would only delay the final answer.
+    const all = this.ledger.listUpstreams();
+    if (all.length > 0 && all.every((upstream) => req.excluded.includes(upstream.upstreamId))) {
       decide(this.refuse('excluded', req, 0));
       return;
     }
-    const cost = this.account.getCost(req);
-    const ticket: Ticket = { req, enqueuedAt: this.options.clock.now(), cost, decide };
-    this.tickets.set(req.generation, ticket);
-    this.queue.push(ticket);
-    this.pump();
+    const cost = this.ledger.getCost(req);
+    const pending: PendingRequest = { req, enqueuedAt: this.options.clock.now(), cost, decide };
+    this.pending.set(req.generation, pending);
+    this.queue.push(pending);
+    this.grantAll();
   }
 
-  /** Takes a request back, because its caller is gone. */
+  /** Removes a request whose caller has disconnected. */
   public withdraw(generation: string): void {
-    const ticket = this.tickets.get(generation);
-    if (ticket !== undefined) {
-      this.tickets.delete(generation);
-      this.queue.remove(ticket);
+    const pending = this.pending.get(generation);
+    if (pending !== undefined) {
+      this.pending.delete(generation);
+      this.queue.remove(pending);
     }
   }
 
-  /** Learns a generation that a former owner granted, or a daemon alone. */
+  /** Adds a generation that was granted by a former owner or by a daemon alone. */
   public register(facts: types.RunningGeneration): void {
-    this.account.register(facts);
+    this.ledger.register(facts);
   }
 
-  /** Takes the tokens so far of all generations of a daemon. */
+  /** Applies the token counts that a daemon reports for all its generations. */
   public applyProgress(batch: types.ProgressBatch): void {
-    this.account.applyProgress(batch);
-    this.pump();
+    this.ledger.applyProgress(batch);
+    this.grantAll();
   }
 
-  /** Takes a generation off the account. */
+  /** Removes a generation. */
   public finish(generation: string, tokens: number, isNatural: boolean): void {
-    if (this.account.finish(generation, tokens, isNatural)) {
-      this.pump();
+    if (this.ledger.finish(generation, tokens, isNatural)) {
+      this.grantAll();
     }
   }
 
-  /** Drops what belongs to daemons that are gone, refuses whoever waited too long, grants what fits. */
+  /**
+   * Removes the generations of daemons that no longer report, refuses requests whose waiting time
+   * is over, and grants what fits.
+   */
   public tick(): void {
     const now = this.options.clock.now();
     this.refresh();
     this.isBatchAged = this.queue.hasAgedBatch(now);
-    (this.queue.listTimedOut(now) as Ticket[]).forEach((ticket) => {
-      this.settle(ticket, this.refuse('patience', ticket.req, now - ticket.enqueuedAt));
+    (this.queue.listTimedOut(now) as PendingRequest[]).forEach((pending) => {
+      this.settle(pending, this.refuse('patience', pending.req, now - pending.enqueuedAt));
     });
-    this.pump();
+    this.grantAll();
   }
 
-  /** Brings the forecasts up to date with the time that has passed. */
+  /** Updates the forecasts to the current time. */
   public refresh(): void {
-    this.account.refresh();
+    this.ledger.refresh();
   }
 
-  /** Gives everything that waits back to its askers, who go to the next owner. */
+  /** Refuses all waiting requests, so that their daemons ask the next owner. */
   public close(): void {
-    this.tickets.forEach((ticket) =>
-      this.settle(ticket, this.refuse('no-upstream', ticket.req, 0)),
+    this.pending.forEach((pending) =>
+      this.settle(pending, this.refuse('no-upstream', pending.req, 0)),
     );
   }
 
-  /** How the pool stands, for operators and measurements. */
+  /** Returns the state of the pool, for operators and measurements. */
   public getSummary(): { waiting: number; running: number; pressure: Record<string, number> } {
-    const all = this.account.listUpstreams();
+    const all = this.ledger.listUpstreams();
     return {
-      waiting: this.tickets.size,
-      running: all.reduce((sum, room) => sum + room.generations.size, 0),
-      pressure: Object.fromEntries(all.map((room) => [room.upstreamId, room.getPressure(0)])),
+      waiting: this.pending.size,
+      running: all.reduce((sum, upstream) => sum + upstream.generations.size, 0),
+      pressure: Object.fromEntries(
+        all.map((upstream) => [upstream.upstreamId, upstream.getPressure(0)]),
+      ),
     };
   }
 
-  private pump(): void {
+  private grantAll(): void {
     for (let hasGranted = true; hasGranted;) {
       hasGranted = this.grantOne();
     }
@@ -175,82 +183,84 @@
     const now = this.options.clock.now();
     let tried = 0;
     for (const waiting of this.queue.iterateHeads(now)) {
-      const ticket = waiting as Ticket;
+      const pending = waiting as PendingRequest;
       tried += 1;
-      if (this.tryGrant(ticket, now)) {
+      if (this.tryGrant(pending, now)) {
         return true;
       }
-      // An aged request that does not fit holds back what comes behind it: small ones would take every
-      // bit of room as it comes free, and a large draft would never start.
-      if (tried >= MAX_TRIED || this.queue.isBlocking(waiting, now)) {
+      // An aged request that does not fit blocks those behind it: otherwise small requests would
+      // take all capacity as it becomes free, and a long generation would never start.
+      if (tried >= MAX_HEADS_TRIED || this.queue.isBlocking(waiting, now)) {
         return false;
       }
     }
     return false;
   }
 
-  private tryGrant(ticket: Ticket, now: number): boolean {
-    const { req } = ticket;
+  private tryGrant(pending: PendingRequest, now: number): boolean {
+    const { req } = pending;
     const share = this.options.getShare(req.team);
-    if (this.account.countRunning(req.team) >= share.maxConcurrent) {
+    if (this.ledger.countRunning(req.team) >= share.maxConcurrent) {
       return false;
     }
     const candidates = this.listCandidates(req);
-    const joining = this.account.createGeneration({ ...req, upstreamId: '', tokens: 0 });
-    const choice =
-      this.choice.select(candidates, joining, req.prefix, now) ??
-      this.chooseUrgent(ticket, candidates, now);
-    if (choice === undefined) {
+    const joining = this.ledger.createGeneration({ ...req, upstreamId: '', tokens: 0 });
+    const selection =
+      this.selector.select(candidates, joining, req.prefix, now) ??
+      this.selectUrgent(pending, candidates, now);
+    if (selection === undefined) {
       return false;
     }
-    const { upstreamId } = choice.room;
-    this.account.admit(choice.room, { ...req, upstreamId, tokens: 0 }, ticket.cost);
+    const { upstreamId } = selection.upstream;
+    this.ledger.admit(selection.upstream, { ...req, upstreamId, tokens: 0 }, pending.cost);
     this.affinity.add(req.prefix, upstreamId, now);
-    this.settle(ticket, {
+    this.settle(pending, {
       upstreamId,
-      reason: choice.reason,
-      queuedMs: now - ticket.enqueuedAt,
-      pressure: choice.pressure,
+      reason: selection.reason,
+      queuedMs: now - pending.enqueuedAt,
+      pressure: selection.pressure,
       retryAfterS: 0,
     });
     return true;
   }
 
   /**
-   * A short check that found no room for a while goes to the emptiest engine all the same: the engine puts
-   * it first as soon as memory comes free, long before the owner would hear of it.
+   * Sends interactive work that found no capacity for a while to the emptiest engine regardless:
+   * the engine runs it first as soon as memory becomes free, long before the owner would be
+   * notified.
    */
-  private chooseUrgent(
-    ticket: Ticket,
-    candidates: readonly rooms.UpstreamLedger[],
+  private selectUrgent(
+    pending: PendingRequest,
+    candidates: readonly upstreamLedgers.UpstreamLedger[],
     now: number,
-  ): choices.UpstreamSelection | undefined {
+  ): upstreamSelectors.UpstreamSelection | undefined {
     const isUrgent =
-      ticket.req.workClass === 'interactive' && now - ticket.enqueuedAt >= URGENT_AFTER_MS;
+      pending.req.workClass === 'interactive' && now - pending.enqueuedAt >= URGENT_AFTER_MS;
     if (!isUrgent) {
       return undefined;
     }
     const [best] = candidates
-      .map((room) => ({ room, pressure: room.getPressure(0) }))
+      .map((upstream) => ({ upstream, pressure: upstream.getPressure(0) }))
       .sort((a, b) => a.pressure - b.pressure);
     return best === undefined ? undefined : { ...best, reason: 'urgent' };
   }
 
-  private listCandidates(req: types.GrantRequest): rooms.UpstreamLedger[] {
-    const usable = this.account
+  private listCandidates(req: types.GrantRequest): upstreamLedgers.UpstreamLedger[] {
+    const usable = this.ledger
       .listUpstreams()
-      .filter((room) => !room.isLeaving && !req.excluded.includes(room.upstreamId));
-    // Interactive work passes drafts, but a flood of it must leave them room, or they would never start.
+      .filter((upstream) => !upstream.isLeaving && !req.excluded.includes(upstream.upstreamId));
+    // Interactive work precedes batch work, but a flood of it must leave capacity for batch work,
+    // which would otherwise never start.
     const isBounded = req.workClass === 'interactive' && this.isBatchAged;
     return isBounded
-      ? usable.filter((room) => room.getInteractiveShare() < INTERACTIVE_SHARE)
+      ? usable.filter((upstream) => upstream.getInteractiveShare() < INTERACTIVE_SHARE)
       : usable;
   }
 
-  private settle(ticket: Ticket, decision: types.GrantDecision): void {
-    this.tickets.delete(ticket.req.generation);
-    this.queue.remove(ticket);
-    ticket.decide(decision);
+  private settle(pending: PendingRequest, decision: types.GrantDecision): void {
+    this.pending.delete(pending.req.generation);
+    this.queue.remove(pending);
+    pending.decide(decision);
   }
 
   private refuse(
--- a/packages/routing/src/prefill-backlog.ts
+++ b/packages/routing/src/prefill-backlog.ts
@@ -1,111 +1,125 @@
-/** Prompt tokens that an engine is taken to read in a millisecond before any was seen: a chunk of 112 every 16 ms. */
-const FIRST_GUESS_PER_MS = 7;
+/**
+ * Prefill rate assumed before any observation, in tokens per millisecond: chunks of 112 tokens
+ * every 16 ms.
+ */
+const INITIAL_TOKENS_PER_MS = 7;
 
-/** How much one prompt's reading counts in the speed that is expected of the next ones. */
+/** Weight of one observation in the moving average of the rate. */
 const LEARNING_RATE = 0.1;
 
-/** Between which speeds a reading is believed, in tokens a millisecond; beyond them the first event was late to be told. */
-const LEAST_PER_MS = 1;
-const MOST_PER_MS = 50;
+/**
+ * Range of plausible rates, in tokens per millisecond; outside of it the first event was reported
+ * late.
+ */
+const MIN_TOKENS_PER_MS = 1;
+const MAX_TOKENS_PER_MS = 50;
 
-/** How many times the expected reading a prompt counts on as unread when nobody tells that its answer has begun. */
-const UNTOLD_FACTOR = 4;
+/**
+ * Multiple of the expected prefill time after which a prompt counts as complete even if no first
+ * event was reported.
+ */
+const TIMEOUT_FACTOR = 4;
 
-/** How fast engines of one pool read prompts, learned from the prompts' first events. */
+/** The prefill rate of the engines of one pool, learned from the first events of generations. */
 export class PrefillRate {
-  private perMs = FIRST_GUESS_PER_MS;
+  private tokensPerMs = INITIAL_TOKENS_PER_MS;
 
-  /** Takes a prompt that was read in so many milliseconds. */
+  /** Records a prefill that took so many milliseconds. */
   public observe(tokens: number, ms: number): void {
-    const seen = tokens / Math.max(1, ms);
-    if (seen >= LEAST_PER_MS && seen <= MOST_PER_MS) {
-      this.perMs += (seen - this.perMs) * LEARNING_RATE;
+    const observed = tokens / Math.max(1, ms);
+    if (observed >= MIN_TOKENS_PER_MS && observed <= MAX_TOKENS_PER_MS) {
+      this.tokensPerMs += (observed - this.tokensPerMs) * LEARNING_RATE;
     }
   }
 
-  /** How long reading so many tokens takes, in milliseconds. */
+  /** Returns the expected prefill time of so many tokens, in milliseconds. */
   public getMs(tokens: number): number {
-    return tokens / this.perMs;
+    return tokens / this.tokensPerMs;
   }
 }
 
-interface Unread {
+interface PendingPrompt {
   readonly tokens: number;
 }
 
 /**
- * The prompts that were placed on one engine and of which no event was seen yet. The engine reads them one after the
- * other, so their sum says how long the next one waits; where it is long, the next one's first event is late there.
+ * The prompts placed on one engine that have not produced an event yet. The engine processes them
+ * one after the other, so their sum gives the wait of the next prompt; if it is long, that prompt's
+ * first event will be late there.
  */
 export class PrefillBacklog {
-  private readonly unread = new Map<string, Unread>();
-  /** The tokens of all of them. */
-  private unreadTokens = 0;
-  /** Since when the prompt that came first is being read. */
+  private readonly pending = new Map<string, PendingPrompt>();
+  /** Total tokens of these prompts. */
+  private pendingTokens = 0;
+  /** Time since which the prompt at the head is being processed. */
   private headSince = 0;
 
-  public constructor(private readonly speed: PrefillRate) {}
+  public constructor(private readonly rate: PrefillRate) {}
 
-  /** Notes a prompt that was sent there. */
+  /** Adds a prompt that was sent to the engine. */
   public add(callId: string, tokens: number, now: number): void {
-    if (this.unread.size === 0) {
+    if (this.pending.size === 0) {
       this.headSince = now;
     }
-    this.unreadTokens += tokens - (this.unread.get(callId)?.tokens ?? 0);
-    this.unread.set(callId, { tokens });
+    this.pendingTokens += tokens - (this.pending.get(callId)?.tokens ?? 0);
+    this.pending.set(callId, { tokens });
   }
 
-  /** Notes that a prompt was read, since its answer has begun; how long that took tells the engine's speed. */
+  /**
+   * Records the first event of a generation, which shows that its prefill is complete; the time it
+   * took gives the rate.
+   */
   public recordFirstEvent(callId: string, now: number): void {
-    const prompt = this.unread.get(callId);
+    const prompt = this.pending.get(callId);
     if (prompt === undefined) {
       return;
     }
     if (this.isHead(callId)) {
-      this.speed.observe(prompt.tokens, now - this.headSince);
+      this.rate.observe(prompt.tokens, now - this.headSince);
     }
     this.remove(callId, now);
   }
 
-  /** Takes a prompt off, whatever became of it. */
+  /** Removes a prompt, whatever its outcome. */
   public remove(callId: string, now: number): void {
-    const prompt = this.unread.get(callId);
+    const prompt = this.pending.get(callId);
     if (prompt === undefined) {
       return;
     }
-    // What was placed before it and is not told to have begun has been passed, or will be told in a moment.
+    // Prompts placed before it without a reported first event were overtaken, or will be reported
+    // in a moment.
     this.headSince = this.isHead(callId) ? now : this.headSince;
-    this.unread.delete(callId);
-    this.unreadTokens -= prompt.tokens;
+    this.pending.delete(callId);
+    this.pendingTokens -= prompt.tokens;
   }
 
-  /** How long a prompt that comes now waits until it is read, in milliseconds. */
+  /** Returns the time that a new prompt waits until its prefill starts, in milliseconds. */
   public getMs(now: number): number {
-    if (this.unread.size === 0) {
+    if (this.pending.size === 0) {
       return 0;
     }
-    this.dropUntold(now);
-    const [head] = this.unread.values();
+    this.dropTimedOut(now);
+    const [head] = this.pending.values();
     if (head === undefined) {
       return 0;
     }
-    const headMs = this.speed.getMs(head.tokens);
-    return this.speed.getMs(this.unreadTokens) - Math.min(headMs, now - this.headSince);
+    const headMs = this.rate.getMs(head.tokens);
+    return this.rate.getMs(this.pendingTokens) - Math.min(headMs, now - this.headSince);
   }
 
   private isHead(callId: string): boolean {
-    const [head] = this.unread.keys();
+    const [head] = this.pending.keys();
     return head === callId;
   }
 
-  /** A host that died or was cut off tells nothing; its prompts must not bar an engine. */
-  private dropUntold(now: number): void {
-    const [entry] = this.unread.entries();
+  /** A host that crashed or was cut off reports nothing; its prompts must not block the engine. */
+  private dropTimedOut(now: number): void {
+    const [entry] = this.pending.entries();
     if (entry === undefined) {
       return;
     }
     const [callId, { tokens }] = entry;
-    if (now - this.headSince > this.speed.getMs(tokens) * UNTOLD_FACTOR) {
+    if (now - this.headSince > this.rate.getMs(tokens) * TIMEOUT_FACTOR) {
       this.remove(callId, now);
     }
   }
--- a/packages/routing/src/prefix-affinity.ts
+++ b/packages/routing/src/prefix-affinity.ts
@@ -1,17 +1,18 @@
-/** How many prefixes are remembered for a pool. */
+/** Maximum number of prefixes recorded for a pool. */
 const MAX_PREFIXES = 10_000;
 
-/** How long an upstream is expected to keep a prefix that nobody used, in milliseconds. */
-const KEEP_MS = 120_000;
+/** How long an upstream is expected to keep an unused prefix, in milliseconds. */
+const PREFIX_TTL_MS = 120_000;
 
 /**
- * Which upstreams probably hold a prompt's prefix in their cache. Only a hint: events come late and with
- * gaps, so after a gap everything known of that upstream is forgotten, and a wrong hint costs one prefill.
+ * Tracks which upstreams probably hold a prompt's prefix in their cache. This is only a hint:
+ * events arrive late and with gaps. After a gap all entries of the upstream are dropped; a wrong
+ * hint costs one prefill.
  */
 export class PrefixAffinity {
   private readonly holders = new Map<string, Map<string, number>>();
 
-  /** Notes that an upstream holds a prefix as of `now`. */
+  /** Records that an upstream holds a prefix as of `now`. */
   public add(prefix: string, upstreamId: string, now: number): void {
     if (prefix === '') {
       return;
@@ -24,12 +25,12 @@
     }
   }
 
-  /** Notes that an upstream dropped a prefix. */
+  /** Records that an upstream dropped a prefix. */
   public remove(prefix: string, upstreamId: string): void {
     this.holders.get(prefix)?.delete(upstreamId);
   }
 
-  /** Forgets an upstream, after a gap in its events or its end. */
+  /** Drops all entries of an upstream, after a gap in its events or its end. */
   public forget(upstreamId: string): void {
     this.holders.forEach((holders) => holders.delete(upstreamId));
   }
@@ -37,6 +38,6 @@
   /** Whether an upstream probably holds a prefix. */
   public isHolder(prefix: string, upstreamId: string, now: number): boolean {
     const since = this.holders.get(prefix)?.get(upstreamId);
-    return since !== undefined && now - since < KEEP_MS;
+    return since !== undefined && now - since < PREFIX_TTL_MS;
   }
 }
--- a/packages/routing/src/quarantine-state.ts
+++ b/packages/routing/src/quarantine-state.ts
@@ -2,10 +2,10 @@
 
 import * as suspects from './suspect.js';
 
-/** How many quarantined calls are kept; the one that changed longest ago goes first. */
-const MOST_CALLS = 500;
+/** Maximum number of quarantined calls kept; the least recently changed one is dropped first. */
+const MAX_CALLS = 500;
 
-/** What is put into the replicated log of quarantined calls. */
+/** An entry of the replicated log about a quarantined call. */
 export const quarantineEntry = z.object({
   quarantine: z.discriminatedUnion('kind', [
     z.object({ kind: z.literal('held'), facts: suspects.suspectFacts }),
@@ -13,49 +13,49 @@
   ]),
 });
 
-/** What is put into the replicated log of quarantined calls. */
+/** An entry of the replicated log about a quarantined call. */
 export type QuarantineEntry = z.infer<typeof quarantineEntry>;
 
-/** Whether an entry of the log is one of quarantined calls. */
+/** Whether an entry of the replicated log is about a quarantined call. */
 export function isQuarantineEntry(data: unknown): data is QuarantineEntry {
   return quarantineEntry.safeParse(data).success;
 }
 
 /**
- * The quarantined calls in the replicated log. What hosts know in memory is gone when all of them lose power, and each bad
- * call would get its three upstreams again; this outlives it.
+ * The quarantined calls in the replicated log. The ledgers in memory are lost when all hosts lose
+ * power, and each faulty call could then end three upstreams again; this state is kept.
  */
 export class QuarantineState {
-  private readonly held = new Map<string, suspects.SuspectFacts>();
+  private readonly factsByDigest = new Map<string, suspects.SuspectFacts>();
 
-  /** Applies one entry; the same on every voter. */
+  /** Applies one entry; gives the same result on every voter. */
   public apply({ quarantine }: QuarantineEntry): void {
     if (quarantine.kind === 'cleared') {
-      this.held.delete(quarantine.digest);
+      this.factsByDigest.delete(quarantine.digest);
       return;
     }
     const { facts } = quarantine;
-    this.held.delete(facts.digest);
-    this.held.set(facts.digest, facts);
-    if (this.held.size > MOST_CALLS) {
-      const [oldest] = this.held.keys();
-      this.held.delete(oldest!);
+    this.factsByDigest.delete(facts.digest);
+    this.factsByDigest.set(facts.digest, facts);
+    if (this.factsByDigest.size > MAX_CALLS) {
+      const [oldest] = this.factsByDigest.keys();
+      this.factsByDigest.delete(oldest!);
     }
   }
 
-  /** What is held against a call. */
+  /** Returns the facts of a quarantined call. */
   public find(digest: string): suspects.SuspectFacts | undefined {
-    return this.held.get(digest);
+    return this.factsByDigest.get(digest);
   }
 
-  /** All that are held. */
+  /** Returns the facts of all quarantined calls. */
   public list(): suspects.SuspectFacts[] {
-    return [...this.held.values()];
+    return [...this.factsByDigest.values()];
   }
 
-  /** Takes a snapshot in place of what is held. */
+  /** Replaces the state by a snapshot. */
   public restore(all: readonly suspects.SuspectFacts[]): void {
-    this.held.clear();
-    all.forEach((facts) => this.held.set(facts.digest, facts));
+    this.factsByDigest.clear();
+    all.forEach((facts) => this.factsByDigest.set(facts.digest, facts));
   }
 }
--- a/packages/routing/src/recent-sends.ts
+++ b/packages/routing/src/recent-sends.ts
@@ -1,16 +1,19 @@
-/** The window in which sends are counted, in milliseconds: the second of the limit, and how much later a send may arrive. */
+/**
+ * Window in which sends are counted, in milliseconds: the one second of the rate limit, and 200 ms
+ * by which a send may arrive later.
+ */
 export const SEND_WINDOW_MS = 1_200;
 
-/** The sends to one upstream of late. */
+/** Counts the recent sends to one upstream. */
 export class RecentSends {
   private sentAt: number[] = [];
 
-  /** Notes a send. */
+  /** Records a send. */
   public record(now: number): void {
     this.sentAt.push(now);
   }
 
-  /** How many there were within the window. */
+  /** Returns the number of sends within the window. */
   public count(now: number): number {
     const first = this.sentAt.findIndex((at) => now - at < SEND_WINDOW_MS);
     if (first !== 0) {
--- a/packages/routing/src/route-table.ts
+++ b/packages/routing/src/route-table.ts
@@ -1,6 +1,6 @@
 import type * as schemas from '@bramleyridge/schemas';
 
-/** The routes, services and keys of one configuration, indexed for every call to look up. */
+/** The routes, services and keys of one configuration, indexed for lookup per call. */
 export class RouteTable {
   private readonly byHost = new Map<string, schemas.Route[]>();
   private readonly byKey = new Map<string, schemas.KeyedTeam>();
@@ -11,7 +11,7 @@
       const host = route.host.toLowerCase();
       this.byHost.set(host, [...(this.byHost.get(host) ?? []), route]);
     });
-    // The longest prefix comes first, so the first that fits is the one that counts.
+    // Sorted by descending prefix length, so the first match is the longest.
     this.byHost.forEach((routes) =>
       routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length),
     );
@@ -19,12 +19,15 @@
     config.services.forEach((service) => this.services.set(service.name, service));
   }
 
-  /** The route of a call: among those of its host, the one with the longest prefix of its path. */
+  /**
+   * Returns the route of a call: among those of its host, the one with the longest matching path
+   * prefix.
+   */
   public findRoute(host: string, path: string): schemas.Route | undefined {
     return this.byHost.get(host)?.find((route) => path.startsWith(route.pathPrefix));
   }
 
-  /** The team that holds a key. */
+  /** Returns the team that owns a key. */
   public findTeam(key: string): schemas.KeyedTeam | undefined {
     return this.byKey.get(key);
   }
@@ -34,13 +37,13 @@
     return this.config.teams !== undefined && !route.isPublic;
   }
 
-  /** A service that the configuration names. */
+  /** Returns a service of the configuration by its name. */
   public findService(name: string): schemas.RoutedService | undefined {
     return this.services.get(name);
   }
 }
 
-/** Draws the service of one call by the weights of its route. */
+/** Draws the service for one call by the weights of its route. */
 export function drawService(route: schemas.Route, random: () => number): string {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
   let rest = random() * total;
--- a/packages/routing/src/run-registry.ts
+++ b/packages/routing/src/run-registry.ts
@@ -1,24 +1,29 @@
-import * as engineHoldings from './engine-occupancy.js';
+import * as engineOccupancies from './engine-occupancy.js';
 import type * as placedRuns from './placed-run.js';
 
-/** How long after its end a generation that nobody took off still counts, in milliseconds. */
+/**
+ * How long an unreleased generation still counts after its latest possible end, in milliseconds.
+ */
 const OVERDUE_MS = 2_000;
 
-/** How often such generations are looked for, in milliseconds; a tenth of the time for which they count anyway. */
+/**
+ * Interval between two checks for such generations, in milliseconds; a tenth of the time for which
+ * they count anyway.
+ */
 const OVERDUE_CHECK_MS = 200;
 
-/** Every generation of one pool with its size and its copy, by engine. */
+/** Indexes the generations of one pool, with their backups, by engine. */
 export class RunRegistry {
   private readonly runs = new Map<string, placedRuns.PlacedRun>();
-  private readonly byEngine = new Map<string, engineHoldings.EngineOccupancy>();
+  private readonly byEngine = new Map<string, engineOccupancies.EngineOccupancy>();
   private checkedAt = -Infinity;
 
-  /** How many generations there are. */
+  /** Number of generations. */
   public get size(): number {
     return this.runs.size;
   }
 
-  /** Enters a generation; what was known of it before no longer counts. */
+  /** Adds a generation and replaces any earlier entry of the same call. */
   public set(run: placedRuns.PlacedRun): void {
     this.remove(run.spec.callId);
     this.runs.set(run.spec.callId, run);
@@ -28,17 +33,17 @@
     }
   }
 
-  /** A generation, unless it is over. */
+  /** Returns a generation; `undefined` if it is over. */
   public find(callId: string): placedRuns.PlacedRun | undefined {
     return this.runs.get(callId);
   }
 
-  /** The generations that run on an engine. */
+  /** Returns the generations that run on an engine. */
   public listAt(engineId: string): placedRuns.PlacedRun[] {
     return this.byEngine.get(engineId)?.listRuns() ?? [];
   }
 
-  /** Takes a generation off. */
+  /** Removes a generation. */
   public remove(callId: string): void {
     const run = this.runs.get(callId);
     if (run === undefined) {
@@ -49,33 +54,35 @@
     this.getOccupancy(run.engineId).removeRun(callId);
   }
 
-  /** Notes which engine has a copy of a generation, or that none has. */
-  public setBackup(callId: string, copyAt: string | undefined): void {
+  /** Sets which engine keeps the backup of a generation; `undefined` if none does. */
+  public setBackup(callId: string, backupEngineId: string | undefined): void {
     const run = this.runs.get(callId);
-    if (run === undefined || run.backupEngineId === copyAt) {
+    if (run === undefined || run.backupEngineId === backupEngineId) {
       return;
     }
     if (run.backupEngineId !== undefined) {
       this.getOccupancy(run.backupEngineId).removeBackup(callId);
     }
-    run.backupEngineId = copyAt;
-    if (copyAt !== undefined) {
-      this.getOccupancy(copyAt).addBackup(run);
+    run.backupEngineId = backupEngineId;
+    if (backupEngineId !== undefined) {
+      this.getOccupancy(backupEngineId).addBackup(run);
     }
   }
 
-  /** What runs and is kept on an engine; the same object for as long as the engine is listed. */
-  public getOccupancy(engineId: string): engineHoldings.EngineOccupancy {
-    const known = this.byEngine.get(engineId);
-    if (known !== undefined) {
-      return known;
+  /**
+   * Returns the runs and backups on an engine; the same object for as long as the engine is listed.
+   */
+  public getOccupancy(engineId: string): engineOccupancies.EngineOccupancy {
+    const existing = this.byEngine.get(engineId);
+    if (existing !== undefined) {
+      return existing;
     }
-    const created = new engineHoldings.EngineOccupancy();
+    const created = new engineOccupancies.EngineOccupancy();
     this.byEngine.set(engineId, created);
     return created;
   }
 
-  /** Forgets engines that are no longer listed and on which nothing runs any more. */
+  /** Drops empty entries of engines that are no longer listed. */
   public removeUnlisted(isListed: (engineId: string) => boolean): void {
     this.byEngine.forEach((holdings, engineId) => {
       if (holdings.isEmpty && !isListed(engineId)) {
@@ -84,22 +91,25 @@
     });
   }
 
-  /** An engine that started again has none of the runs and copies that were there. */
+  /**
+   * Removes the runs and backups of an engine that has restarted, since they were lost with its
+   * process.
+   */
   public removeWorkAt(engineId: string): void {
     const holdings = this.byEngine.get(engineId);
-    holdings?.listRuns().forEach(({ spec: need }) => this.remove(need.callId));
-    holdings?.listBackedUp().forEach(({ spec: need }) => this.setBackup(need.callId, undefined));
+    holdings?.listRuns().forEach(({ spec }) => this.remove(spec.callId));
+    holdings?.listBackedUp().forEach(({ spec }) => this.setBackup(spec.callId, undefined));
   }
 
-  /** A host that died took nothing off; its generations must not hold room for ever. */
+  /** A host that crashed did not release its generations; they must not use capacity forever. */
   public dropOverdue(now: number): void {
     if (now - this.checkedAt < OVERDUE_CHECK_MS) {
       return;
     }
     this.checkedAt = now;
-    this.runs.forEach(({ expiresAt: endsAt, spec: need }) => {
+    this.runs.forEach(({ expiresAt: endsAt, spec }) => {
       if (now > endsAt + OVERDUE_MS) {
-        this.remove(need.callId);
+        this.remove(spec.callId);
       }
     });
   }
--- a/packages/routing/src/suspect.ts
+++ b/packages/routing/src/suspect.ts
@@ -1,70 +1,82 @@
 import * as z from 'zod';
 
-/** What is held against a call whose run had only begun when its process ended. */
+/** Weight of a process end shortly after the start of the run. */
 const EARLY_WEIGHT = 1;
 
 /**
- * The same of a run that had been going on for a while. A bad call ends its process when it begins to run; a long run was
- * most likely there by chance, and should go on elsewhere.
+ * Weight of a process end during a run that had been going on for a while. A faulty call ends its
+ * process when it starts to run; a long run was most likely there by chance and should continue
+ * elsewhere.
  */
 const LATE_WEIGHT = 0.5;
 
-/** From which weight on a call is a suspect. */
+/** Weight from which a call is a suspect. */
 const SUSPECT_WEIGHT = 1;
 
-/** From which weight on a call is quarantined when some process ended under it and no other suspect. */
-const ALONE_WEIGHT = 2;
+/**
+ * Weight from which a call is quarantined if no other suspect ran during at least one of the ends.
+ */
+const ALONE_QUARANTINE_WEIGHT = 2;
 
-/** From which weight on it is quarantined in any case. */
-const COMPANY_WEIGHT = 3;
+/** Weight from which a call is quarantined in any case. */
+const QUARANTINE_WEIGHT = 3;
 
-/** How many ends of one call are kept; more don't change how it stands. */
-const MOST_ENDS = 8;
+/** Maximum number of process ends kept per call; further ends do not change its standing. */
+const MAX_ENDS = 8;
 
-/** A process of an upstream that ended under a call. */
+/** The end of an upstream process during a call. */
 export const processEnd = z.object({
-  /** Tells the process from others, also from one under the same name before or after it. */
+  /** Identifies the process, also among earlier and later ones under the same upstream name. */
   processId: z.string(),
-  /** Whether the run had only begun. */
+  /** Whether the run had only just started. */
   isEarly: z.boolean(),
-  /** Whether no other suspect ran there. */
+  /** Whether no other suspect ran on the process. */
   wasAlone: z.boolean(),
 });
 
-/** What is held against a call. */
+/** The facts recorded about a call during which upstream processes ended. */
 export const suspectFacts = z.object({
   digest: z.string(),
   ends: z.array(processEnd).readonly(),
-  /** How often it was sent after it was quarantined. */
+  /** How many times the call was sent after it was quarantined. */
   chances: z.int(),
-  /** Names the question that the last of these sends was allowed to; asked again it has the same answer. */
+  /**
+   * Id of the permit request that allowed the last of these sends; a repeated request gets the same
+   * answer.
+   */
   permitId: z.string().optional(),
 });
 
-/** A process of an upstream that ended under a call. */
+/** The end of an upstream process during a call. */
 export type ProcessEnd = z.infer<typeof processEnd>;
-/** What is held against a call. */
+/** The facts recorded about a call during which upstream processes ended. */
 export type SuspectFacts = z.infer<typeof suspectFacts>;
 
-/** How it stands with a call: sent like any other, watched only, kept apart from other suspects, or not sent. */
+/**
+ * The standing of a call: sent like any other (`free` and `watched`), kept apart from other
+ * suspects, or not sent.
+ */
 export type Standing = 'free' | 'watched' | 'suspect' | 'quarantined';
 
-/** The weight of what is held against a call. */
+/** Returns the total weight of the process ends of a call. */
 export function getWeight({ ends }: SuspectFacts): number {
   return ends.reduce((sum, { isEarly }) => sum + (isEarly ? EARLY_WEIGHT : LATE_WEIGHT), 0);
 }
 
-/** How it stands with a call. */
+/** Returns the standing of a call. */
 export function getStanding(facts: SuspectFacts): Standing {
   const weight = getWeight(facts);
   const wasAlone = facts.ends.some((end) => end.wasAlone);
-  if (weight >= COMPANY_WEIGHT || (wasAlone && weight >= ALONE_WEIGHT)) {
+  if (weight >= QUARANTINE_WEIGHT || (wasAlone && weight >= ALONE_QUARANTINE_WEIGHT)) {
     return 'quarantined';
   }
   return weight >= SUSPECT_WEIGHT ? 'suspect' : 'watched';
 }
 
-/** Adds ends; one that is known already counts once, with what is worse of it. */
+/**
+ * Adds process ends. An end that is already recorded counts once and keeps the more severe of both
+ * values.
+ */
 export function addEnds(facts: SuspectFacts, ends: readonly ProcessEnd[]): SuspectFacts {
   const all = new Map(facts.ends.map((end) => [end.processId, end]));
   ends.forEach((end) => {
@@ -75,10 +87,10 @@
       wasAlone: end.wasAlone || (known?.wasAlone ?? false),
     });
   });
-  return { ...facts, ends: [...all.values()].slice(0, MOST_ENDS) };
+  return { ...facts, ends: [...all.values()].slice(0, MAX_ENDS) };
 }
 
-/** What two hosts know of one call. */
+/** Merges what two hosts have recorded about one call. */
 export function mergeFacts(one: SuspectFacts, other: SuspectFacts): SuspectFacts {
   const [later, earlier] = other.chances > one.chances ? [other, one] : [one, other];
   const { chances } = later;
@@ -86,7 +98,7 @@
   return { ...addEnds(one, other.ends), chances, permitId };
 }
 
-/** Whether both say the same. */
+/** Whether both hold the same facts. */
 export function areSame(one: SuspectFacts, other: SuspectFacts): boolean {
   return JSON.stringify(one) === JSON.stringify(other);
 }
--- a/packages/routing/src/types.ts
+++ b/packages/routing/src/types.ts
@@ -3,10 +3,10 @@
 /** The classes of work, the most urgent first. */
 export const workClass = z.enum(['interactive', 'batch']);
 
-/** The classes of work. */
+/** A class of work. */
 export type WorkClass = z.infer<typeof workClass>;
 
-/** What is known of a generation when it asks for room. */
+/** A request for capacity for a generation. */
 export const grantRequest = z.object({
   generation: z.string(),
   daemonId: z.string(),
@@ -16,18 +16,18 @@
   promptTokens: z.int(),
   maxTokens: z.int(),
   prefix: z.string(),
-  /** How long the request has waited already, with a former owner. */
+  /** How long the request has already waited at a former owner, in milliseconds. */
   waitedMs: z.number(),
-  /** How long it may still wait. */
+  /** How long it may still wait, in milliseconds. */
   patienceMs: z.number(),
-  /** Upstreams that refused it or were lost to it. */
+  /** Upstreams that refused it or failed during it. */
   excluded: z.array(z.string()),
 });
 
-/** What is known of a generation when it asks for room. */
+/** A request for capacity for a generation. */
 export type GrantRequest = z.infer<typeof grantRequest>;
 
-/** A running generation, as a new owner learns it from the daemon that relays it. */
+/** A running generation, as reported to a new owner by the daemon that relays it. */
 export const runningGeneration = z.object({
   generation: z.string(),
   daemonId: z.string(),
@@ -43,16 +43,16 @@
 /** A running generation. */
 export type RunningGeneration = z.infer<typeof runningGeneration>;
 
-/** Tokens so far of some generations of one daemon. */
+/** Token counts of some generations of one daemon. */
 export const progressBatch = z.object({
   daemonId: z.string(),
   tokens: z.array(z.tuple([z.string(), z.int()])),
 });
 
-/** Tokens so far of some generations of one daemon. */
+/** Token counts of some generations of one daemon. */
 export type ProgressBatch = z.infer<typeof progressBatch>;
 
-/** Why an upstream was chosen or a request refused. */
+/** The reason for the choice of an upstream or for a refusal. */
 export type GrantReason =
   | 'room'
   | 'prefix'
@@ -65,17 +65,17 @@
   | 'excluded'
   | 'no-upstream';
 
-/** The decision on a request for room. */
+/** The decision on a request for capacity. */
 export interface GrantDecision {
   readonly upstreamId: string | undefined;
   readonly reason: GrantReason;
   readonly queuedMs: number;
-  /** The forecast share of the upstream's memory that decided, 0 to 1 and above. */
+  /** The forecast share of the upstream's memory that led to the decision, 0 to 1 and above. */
   readonly pressure: number;
   readonly retryAfterS: number;
 }
 
-/** How a team shares a pool. */
+/** A team's share of a pool. */
 export interface TeamShare {
   readonly weight: number;
   readonly maxConcurrent: number;
--- a/packages/routing/src/upstream-ledger.ts
+++ b/packages/routing/src/upstream-ledger.ts
@@ -3,73 +3,78 @@
 import type * as liveGenerations from './live-generation.js';
 import * as forecasts from './memory-forecast.js';
 
-/** How long the account's own past is kept to compare late reports with, in milliseconds. */
+/**
+ * How long past values of the ledger are kept for comparison with late reports, in milliseconds.
+ */
 const HISTORY_MS = 10_000;
 
-/** What is left of the peak of interactive work after each look at it, ten times a second. */
+/** Factor applied to the recorded peak of interactive work at each sample, ten times a second. */
 const PEAK_DECAY = 0.997;
 
-/** How much a new measure of speed weighs against the former ones. */
+/** Weight of a new sample in the moving average of the speed. */
 const SPEED_WEIGHT = 0.2;
 
-/** The account of one upstream: what runs there, what it reported, how it is expected to fill. */
+/**
+ * The ledger of one upstream: what runs there, what it reported, and the forecast of its memory.
+ */
 export class UpstreamLedger {
   public readonly generations = new Map<string, liveGenerations.LiveGeneration>();
   public isLeaving = false;
   public report: schemas.LoadReport | undefined;
-  /** Tokens a second and generation, smoothed; 0 while unknown. */
+  /** Tokens per second per generation, smoothed; 0 while unknown. */
   public tokensPerS = 0;
   private readonly forecast = new forecasts.MemoryForecast();
-  private history: { readonly at: number; readonly held: number }[] = [];
-  private unaccounted = 0;
-  private interactivePeak = 0;
-  private interactiveHeld = 0;
+  private history: { readonly at: number; readonly usedTokens: number }[] = [];
+  private unaccountedTokens = 0;
+  private interactivePeakTokens = 0;
+  private interactiveTokens = 0;
 
   public constructor(
     public readonly upstreamId: string,
-    private readonly assumedTokens: number,
+    private readonly maxTokens: number,
   ) {}
 
-  /** The memory that may be filled, in tokens. */
+  /** Returns the memory that may be filled, in tokens. */
   public getCapacity(): number {
-    const total = Math.min(this.report?.tokensTotal ?? Infinity, this.assumedTokens);
-    return Math.max(total - this.unaccounted, 1);
+    const total = Math.min(this.report?.tokensTotal ?? Infinity, this.maxTokens);
+    return Math.max(total - this.unaccountedTokens, 1);
   }
 
-  /** Adds a generation to the account. */
+  /** Adds a generation. */
   public add(generation: liveGenerations.LiveGeneration): void {
     this.generations.set(generation.facts.generation, generation);
     this.forecast.add(generation.facts.generation, new forecasts.ExpectedMemory(generation));
-    this.interactiveHeld += getInteractiveTokens(generation);
+    this.interactiveTokens += getInteractiveTokens(generation);
   }
 
-  /** Takes a generation off the account. */
+  /** Removes a generation. */
   public remove(generation: string): liveGenerations.LiveGeneration | undefined {
-    const known = this.generations.get(generation);
-    if (known !== undefined) {
+    const removed = this.generations.get(generation);
+    if (removed !== undefined) {
       this.generations.delete(generation);
       this.forecast.remove(generation);
-      this.interactiveHeld = Math.max(0, this.interactiveHeld - getInteractiveTokens(known));
+      this.interactiveTokens = Math.max(0, this.interactiveTokens - getInteractiveTokens(removed));
     }
-    return known;
+    return removed;
   }
 
   /**
-   * Works the forecast out anew. Progress is told in batches and late; between two batches the generations
-   * of an engine grow by a few per cent of its memory, so what they probably have by now is counted.
+   * Recomputes the forecast. Progress is reported in batches and late; between two batches the
+   * generations of an engine grow by a few per cent of its memory, so their estimated current
+   * tokens are used.
    */
   public rebuild(now: number): void {
-    this.interactiveHeld = 0;
+    this.interactiveTokens = 0;
     this.forecast.rebuild((id) => {
       const generation = this.generations.get(id)!;
-      this.interactiveHeld += getInteractiveTokens(generation);
+      this.interactiveTokens += getInteractiveTokens(generation);
       return generation.estimateTokens(now, this.tokensPerS);
     });
   }
 
   /**
-   * Takes a report. It tells of a moment that is past, so only what it shows beyond this account's own
-   * view of that moment counts: work of daemons that decided alone, or of a former owner.
+   * Applies a report. It describes a past moment, so only the excess over this ledger's own value
+   * at that moment counts: work of daemons that decided alone, or of a former owner.
    */
   public applyReport(report: schemas.LoadReport, now: number): void {
     if (this.report !== undefined && report.at <= this.report.at) {
@@ -77,17 +82,23 @@
     }
     this.report = report;
     this.isLeaving ||= report.state === 'leaving';
-    this.unaccounted = Math.max(0, report.tokensUsed - this.getMostHeldSince(now - report.ageMs));
+    this.unaccountedTokens = Math.max(
+      0,
+      report.tokensUsed - this.getPeakUseSince(now - report.ageMs),
+    );
   }
 
-  /** Keeps what is held now, for reports to come. */
+  /** Records the current memory use for comparison with later reports. */
   public recordSample(now: number): void {
-    this.interactivePeak = Math.max(this.interactiveHeld, this.interactivePeak * PEAK_DECAY);
+    this.interactivePeakTokens = Math.max(
+      this.interactiveTokens,
+      this.interactivePeakTokens * PEAK_DECAY,
+    );
     this.history = this.history.filter((sample) => now - sample.at < HISTORY_MS);
-    this.history.push({ at: now, held: this.forecast.getMeanTokens() });
+    this.history.push({ at: now, usedTokens: this.forecast.getMeanTokens() });
   }
 
-  /** Notes how fast its generations moved on. */
+  /** Records the speed of the generations. */
   public recordSpeed(tokensPerSecond: number): void {
     this.tokensPerS =
       this.tokensPerS === 0
@@ -95,35 +106,36 @@
         : this.tokensPerS + SPEED_WEIGHT * (tokensPerSecond - this.tokensPerS);
   }
 
-  /** The forecast share of memory if a generation joins. */
+  /** Returns the forecast share of memory if a generation joins. */
   public getPressure(quantile: number, joining?: forecasts.ExpectedMemory): number {
     return this.forecast.getPressure(this.getCapacity(), quantile, joining);
   }
 
-  /** The share of memory that interactive work holds now. */
+  /** Returns the share of memory that interactive work holds now. */
   public getInteractiveShare(): number {
-    return this.interactiveHeld / this.getCapacity();
+    return this.interactiveTokens / this.getCapacity();
   }
 
   /**
-   * The share of memory to keep free for interactive work that is yet to come: what it lately held at most,
-   * less what it holds now. Drafts that filled this too would be preempted by the next few checks.
+   * Returns the share of memory to keep free for interactive work that is still to come: its recent
+   * peak less what it holds now. Batch work in this memory would be preempted by the next few
+   * interactive requests.
    */
   public getInteractiveReserve(): number {
-    const missing = this.interactivePeak - this.interactiveHeld;
+    const missing = this.interactivePeakTokens - this.interactiveTokens;
     return Math.max(0, missing) / this.getCapacity();
   }
 
-  /** The mean memory in use now, in tokens. */
+  /** Returns the mean memory in use now, in tokens. */
   public getUsedTokens(): number {
-    return this.forecast.getMeanTokens() + this.unaccounted;
+    return this.forecast.getMeanTokens() + this.unaccountedTokens;
   }
 
-  private getMostHeldSince(then: number): number {
+  private getPeakUseSince(then: number): number {
     const before = this.history.filter((sample) => sample.at <= then).at(-1);
     const since = this.history.filter((sample) => sample.at > then);
-    const held = [before, ...since].map((sample) => sample?.held ?? 0);
-    return Math.max(this.forecast.getMeanTokens(), ...held);
+    const usedTokens = [before, ...since].map((sample) => sample?.usedTokens ?? 0);
+    return Math.max(this.forecast.getMeanTokens(), ...usedTokens);
   }
 }
 
--- a/packages/routing/src/upstream-load.ts
+++ b/packages/routing/src/upstream-load.ts
@@ -1,59 +1,68 @@
-/** How long an upstream's own word on its load is believed, in milliseconds; older, only our share counts. */
-const REPORT_LIFE_MS = 1_500;
+/**
+ * How long an upstream's load report is used, in milliseconds; after that only this host's own
+ * calls count.
+ */
+const REPORT_TTL_MS = 1_500;
 
-/** After which time a failure weighs half, in milliseconds. */
+/** Time after which a failure counts half, in milliseconds. */
 const FAILURE_HALF_LIFE_MS = 2_000;
 
-/** What an upstream says of its load in passing, with its answers. */
+/** The load that an upstream reports along with its answers. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
 }
 
-/** What this host knows of the load of one upstream: its own calls, and what the upstream said of all. */
+/**
+ * The load of one upstream as known to this host: its own calls, and the total that the upstream
+ * reported.
+ */
 export class UpstreamLoad {
-  /** Calls of this host that are under way there. */
+  /** Calls of this host in progress there. */
   public calls = 0;
-  /** Tokens of engine memory that these calls are expected to fill. */
+  /** Engine memory that these calls are expected to use, in tokens. */
   public tokens = 0;
   private othersCalls = 0;
   private reportedAt = -Infinity;
   private failures = 0;
   private failedAt = 0;
 
-  /** Counts a call until the function that it gives is called. */
+  /** Counts a call until the returned function is called. */
   public trackCall(tokens: number): () => void {
-    let isOpen = true;
+    let isActive = true;
     this.calls += 1;
     this.tokens += tokens;
     return () => {
-      if (isOpen) {
-        isOpen = false;
+      if (isActive) {
+        isActive = false;
         this.calls -= 1;
         this.tokens -= tokens;
       }
     };
   }
 
-  /** Takes what the upstream said; this host's own calls are known exactly, so only the others' are kept. */
+  /**
+   * Applies a report. This host's own calls are known exactly, so only those of other hosts are
+   * taken from it.
+   */
   public applyReport(report: ReportedLoad, now: number): void {
     this.othersCalls = Math.max(0, report.running + report.waiting - this.calls);
     this.reportedAt = now;
   }
 
-  /** Notes a call that the upstream failed. */
+  /** Records a call that failed on the upstream. */
   public recordFailure(now: number): void {
     this.failures = this.getFailures(now) + 1;
     this.failedAt = now;
   }
 
-  /** Calls that are probably under way there, of all hosts. */
+  /** Returns the estimated number of calls in progress there, from all hosts. */
   public getActiveCalls(now: number): number {
-    const isFresh = now - this.reportedAt < REPORT_LIFE_MS;
+    const isFresh = now - this.reportedAt < REPORT_TTL_MS;
     return this.calls + (isFresh ? this.othersCalls : 0);
   }
 
-  /** Failures lately, the older ones counted less. */
+  /** Returns the number of recent failures, with older ones counted less. */
   public getFailures(now: number): number {
     return this.failures * 0.5 ** ((now - this.failedAt) / FAILURE_HALF_LIFE_MS);
   }
