--- a/packages/routing/tests/closed-engines.test.ts
+++ b/packages/routing/tests/closed-engines.test.ts
@@ -6,7 +6,7 @@
   return { engineId, memoryTokens: 10_000, slots: 8, availabilityZone: 'a', isClosed };
 }
 
-function createNeed(callId: string, excluded: readonly string[] = []) {
+function createSpec(callId: string, excluded: readonly string[] = []) {
   return {
     callId,
     availabilityZone: 'a',
@@ -19,30 +19,40 @@
   };
 }
 
-// Guards against copies that are sent to an engine which is to get nothing new, and against runs that are moved there.
-void tap.default.test('a closed engine keeps no new copy and takes nothing over', async (t) => {
-  const ledger = new engineLedgers.EngineLedger();
-  ledger.setEngines([createEngine('e-1'), createEngine('e-2', true)]);
-  t.match(ledger.place(createNeed('c1'), 0), { engineId: 'e-1', copyAt: undefined });
-  ledger.setEngines([createEngine('e-2', true)]);
-  t.equal(
-    ledger.reassignBackup('c1', 'e-1', [], 100),
-    undefined,
-    'no taker when its engine leaves',
-  );
-  ledger.setEngines([createEngine('e-2')]);
-  t.equal(ledger.reassignBackup('c1', 'e-1', [], 100), 'e-2', 'but one when it is open again');
-});
+// Guards against backups kept on, and runs migrated to, an engine that must not receive new work.
+void tap.default.test(
+  'a closed engine keeps no new backup and is no target of migrations',
+  async (t) => {
+    const ledger = new engineLedgers.EngineLedger();
+    ledger.setEngines([createEngine('e-1'), createEngine('e-2', true)]);
+    t.match(ledger.place(createSpec('c1'), 0), { engineId: 'e-1', copyAt: undefined });
+    ledger.setEngines([createEngine('e-2', true)]);
+    t.equal(
+      ledger.reassignBackup('c1', 'e-1', [], 100),
+      undefined,
+      'no target engine when its engine leaves',
+    );
+    ledger.setEngines([createEngine('e-2')]);
+    t.equal(
+      ledger.reassignBackup('c1', 'e-1', [], 100),
+      'e-2',
+      'but one once an engine is open again',
+    );
+  },
+);
 
-// Guards against a run that counts as kept at a copy from which it may not go on.
-void tap.default.test('a copy at an engine that was closed since does not count', async (t) => {
-  const ledger = new engineLedgers.EngineLedger();
-  const engines = [createEngine('e-1'), createEngine('e-2')];
-  ledger.setEngines(engines);
-  const { copyAt = '', engineId = '' } = ledger.place(createNeed('c1'), 0) ?? {};
-  t.ok(ledger.hasBackup('c1'));
-  ledger.setEngines(engines.map((item) => ({ ...item, isClosed: item.engineId === copyAt })));
-  t.notOk(ledger.hasBackup('c1'));
-  ledger.setEngines(engines.map((item) => ({ ...item, isClosed: item.engineId === engineId })));
-  t.ok(ledger.hasBackup('c1'), 'that its own engine is closed makes no difference');
-});
+// Guards against counting a backup on an engine where its run may not resume.
+void tap.default.test(
+  'a backup on an engine that was closed afterwards does not count',
+  async (t) => {
+    const ledger = new engineLedgers.EngineLedger();
+    const engines = [createEngine('e-1'), createEngine('e-2')];
+    ledger.setEngines(engines);
+    const { copyAt = '', engineId = '' } = ledger.place(createSpec('c1'), 0) ?? {};
+    t.ok(ledger.hasBackup('c1'));
+    ledger.setEngines(engines.map((item) => ({ ...item, isClosed: item.engineId === copyAt })));
+    t.notOk(ledger.hasBackup('c1'));
+    ledger.setEngines(engines.map((item) => ({ ...item, isClosed: item.engineId === engineId })));
+    t.ok(ledger.hasBackup('c1'), 'closing its own engine makes no difference');
+  },
+);
--- a/packages/routing/tests/engine-occupancy.test.ts
+++ b/packages/routing/tests/engine-occupancy.test.ts
@@ -1,13 +1,13 @@
 import * as routing from '@bramleyridge/routing';
 import * as tap from 'tap';
 
-/** Seeds of the drawn days. */
+/** Seeds of the randomized workloads. */
 const SEEDS = [1, 2, 3, 4, 5] as const;
 
 const ENGINES = ['e0', 'e1', 'e2'] as const;
 const HORIZONS_MS = [1_000, 3_000] as const;
 
-/** A small generator of its own, so that a seed draws the same day everywhere. */
+/** A small generator of its own, so that a seed gives the same workload on every platform. */
 function createRandom(seed: number): () => number {
   let state = seed * 2_654_435_761;
   return () => {
@@ -18,31 +18,31 @@
 
 function createRun(callId: string, now: number, random: () => number): routing.PlacedRun {
   const pick = () => ENGINES[Math.floor(random() * ENGINES.length)]!;
-  const need: routing.PlacementSpec = {
+  const spec: routing.PlacementSpec = {
     callId,
     availabilityZone: 'a',
     promptTokens: Math.floor(random() * 5_000),
-    // Some are over at once, some are short, and some go far beyond what was told.
+    // Some end at once, some are short, and some exceed their estimate by far.
     answerTokens: Math.floor(random() ** 3 * 1_500),
     leftMs: 39_000,
     excluded: [],
     wantsCopy: false,
     ranMs: 0,
   };
-  const copyAt = random() < 0.5 ? pick() : undefined;
-  const endsAt = now + need.leftMs;
+  const backupEngineId = random() < 0.5 ? pick() : undefined;
+  const expiresAt = now + spec.leftMs;
   return {
-    spec: need,
+    spec,
     startedAt: now,
-    expiresAt: endsAt,
+    expiresAt,
     engineId: pick(),
     zone: 'a',
-    backupEngineId: copyAt,
+    backupEngineId: backupEngineId,
   };
 }
 
-/** What an engine holds, added up from every run. */
-function addUp(
+/** Sums the forecast of an engine over all runs. */
+function sumForecast(
   runs: Iterable<routing.PlacedRun>,
   engineId: string,
   now: number,
@@ -56,84 +56,85 @@
     );
 }
 
-void tap.default.test('the forecast kept by engine is the sum over all runs', async (t) => {
-  // The forecast is kept as a line that holds until something comes, goes, changes its copy, reaches its estimate or
-  // outlives it. Were one of these missed, an engine would look empty or full for seconds and be overfilled or idle.
+void tap.default.test('the cached forecast of an engine is the sum over all runs', async (t) => {
+  // The cached forecast is valid until a run is added, removed, changes its backup, reaches its
+  // estimate or exceeds it. If one of these did not invalidate it, an engine would look empty or
+  // full for seconds and be overfilled or left idle.
   SEEDS.forEach((seed) => {
     const random = createRandom(seed);
-    const account = new routing.RunRegistry();
+    const registry = new routing.RunRegistry();
     const runs = new Map<string, routing.PlacedRun>();
-    const apart: number[] = [];
+    const differences: number[] = [];
     for (let n = 0, now = 0; n < 2_000; n += 1, now += random() * 60) {
       const callId = `c${Math.floor(random() * 40)}`;
-      const what = random();
-      if (what < 0.4) {
+      const action = random();
+      if (action < 0.4) {
         const run = createRun(callId, now, random);
         runs.set(callId, run);
-        account.set(run);
-      } else if (what < 0.6) {
+        registry.set(run);
+      } else if (action < 0.6) {
         runs.delete(callId);
-        account.remove(callId);
-      } else if (what < 0.8) {
-        account.setBackup(callId, random() < 0.5 ? undefined : 'e1');
+        registry.remove(callId);
+      } else if (action < 0.8) {
+        registry.setBackup(callId, random() < 0.5 ? undefined : 'e1');
       }
       for (const engineId of ENGINES) {
         for (const horizonMs of HORIZONS_MS) {
-          const kept = account.getOccupancy(engineId).getForecastTokens(now, horizonMs);
-          apart.push(Math.abs(kept - addUp(runs.values(), engineId, now, horizonMs)));
+          const cached = registry.getOccupancy(engineId).getForecastTokens(now, horizonMs);
+          differences.push(Math.abs(cached - sumForecast(runs.values(), engineId, now, horizonMs)));
         }
       }
     }
-    const worst = Math.max(...apart);
+    const worst = Math.max(...differences);
     t.ok(worst < 1, `seed ${seed}: at most ${worst.toFixed(3)} tokens apart`);
-    t.equal(account.size, runs.size, 'and no run is lost or left');
+    t.equal(registry.size, runs.size, 'and no run is lost or left over');
   });
 });
 
-void tap.default.test('an engine that started again is emptied, others keep theirs', async (t) => {
-  // Its runs and the copies that it kept are gone with its process; copies that others keep of them go with the runs.
-  const account = new routing.RunRegistry();
+void tap.default.test('a restarted engine is emptied, others keep their runs', async (t) => {
+  // Its runs, and the backups that it kept, are lost with its process; backups of its runs on other
+  // engines are removed along with the runs.
+  const registry = new routing.RunRegistry();
   const random = createRandom(9);
-  account.set({ ...createRun('there', 0, random), engineId: 'e0', backupEngineId: 'e1' });
-  account.set({ ...createRun('copied', 0, random), engineId: 'e1', backupEngineId: 'e0' });
-  account.removeWorkAt('e0');
-  t.ok(account.getOccupancy('e0').isEmpty);
-  t.equal(account.getOccupancy('e1').running, 1);
-  t.equal(account.getOccupancy('e1').listBackedUp().length, 0);
-  t.equal(account.find('copied')?.backupEngineId, undefined);
+  registry.set({ ...createRun('there', 0, random), engineId: 'e0', backupEngineId: 'e1' });
+  registry.set({ ...createRun('backed-up', 0, random), engineId: 'e1', backupEngineId: 'e0' });
+  registry.removeWorkAt('e0');
+  t.ok(registry.getOccupancy('e0').isEmpty);
+  t.equal(registry.getOccupancy('e1').running, 1);
+  t.equal(registry.getOccupancy('e1').listBackedUp().length, 0);
+  t.equal(registry.find('backed-up')?.backupEngineId, undefined);
 });
 
-void tap.default.test('a generation that nobody took off is dropped after its time', async (t) => {
-  // Its host died. It may hold room for two seconds more than its caller waits, and not for ever.
-  const account = new routing.RunRegistry();
-  account.set({ ...createRun('c1', 0, createRandom(3)), engineId: 'e0' });
-  account.dropOverdue(40_900);
-  t.equal(account.size, 1);
-  account.dropOverdue(41_300);
-  t.equal(account.size, 0);
-  t.equal(account.getOccupancy('e0').running, 0);
+void tap.default.test('an unreleased generation is dropped after its maximum time', async (t) => {
+  // Its host crashed. The generation may use capacity for two seconds longer than its caller waits,
+  // and not forever.
+  const registry = new routing.RunRegistry();
+  registry.set({ ...createRun('c1', 0, createRandom(3)), engineId: 'e0' });
+  registry.dropOverdue(40_900);
+  t.equal(registry.size, 1);
+  registry.dropOverdue(41_300);
+  t.equal(registry.size, 0);
+  t.equal(registry.getOccupancy('e0').running, 0);
 });
 
-void tap.default.test(
-  'an engine that is missing from one list keeps what runs on it',
-  async (t) => {
-    // The list lags and now and then an engine is missing from it. Its runs go on; forgotten, the engine would look empty
-    // when it is listed again and be filled a second time.
-    const ledger = new routing.EngineLedger();
-    const list = (...engineIds: string[]) =>
-      engineIds.map((engineId) => ({
-        engineId,
-        memoryTokens: 34_000,
-        slots: 24,
-        availabilityZone: 'a',
-      }));
-    ledger.setEngines(list('e0', 'e1'));
-    const { spec: need } = createRun('c1', 0, createRandom(4));
-    ledger.place({ ...need, fixedEngineId: 'e0' }, 0);
-    const before = ledger.getSummary(0).share;
-    ledger.setEngines(list('e1'));
-    t.equal(ledger.getSummary(0).share, 0);
-    ledger.setEngines(list('e0', 'e1'));
-    t.equal(ledger.getSummary(0).share, before);
-  },
-);
+void tap.default.test('an engine missing from one list keeps its runs', async (t) => {
+  // The list is delayed, and an engine is occasionally missing from it. Its runs continue; if
+  // they were removed, the engine would look empty when it is listed again and be filled a second
+  // time.
+  const ledger = new routing.EngineLedger();
+  const list = (...engineIds: string[]) =>
+    engineIds.map((engineId) => ({
+      engineId,
+      memoryTokens: 34_000,
+      slots: 24,
+      availabilityZone: 'a',
+    }));
+  ledger.setEngines(list('e0', 'e1'));
+  const { spec } = createRun('c1', 0, createRandom(4));
+  ledger.place({ ...spec, fixedEngineId: 'e0' }, 0);
+  const before = ledger.getSummary(0).share;
+  ledger.setEngines(list('e1'));
+  t.equal(ledger.getSummary(0).share, 0);
+  ledger.setEngines(list('e0', 'e1'));
+  t.equal(ledger.getSummary(0).share, before);
+});
--- a/packages/routing/tests/length-distribution.test.ts
+++ b/packages/routing/tests/length-distribution.test.ts
@@ -9,7 +9,7 @@
   });
 }
 
-void tap.default.test('chances follow what was seen', async (t) => {
+void tap.default.test('probabilities follow the observations', async (t) => {
   const distribution = new routing.LengthDistribution();
   learn(
     distribution,
@@ -22,28 +22,31 @@
     { from: 300, to: 4_000, low: 0, high: 0.05 },
   ];
   cases.forEach(({ from, to, low, high }) => {
-    const chance = distribution.getSurvival(from, to);
-    t.ok(chance >= low && chance <= high, `from ${from} to ${to}: ${chance.toFixed(3)}`);
+    const probability = distribution.getSurvival(from, to);
+    t.ok(
+      probability >= low && probability <= high,
+      `from ${from} to ${to}: ${probability.toFixed(3)}`,
+    );
   });
 });
 
 void tap.default.test('running generations count before they end', async (t) => {
-  // At first only the short ones have ended. Counting these alone would make every length look short,
-  // and the long ones that still run would fill the memory.
-  const honest = new routing.LengthDistribution();
-  const naive = new routing.LengthDistribution();
+  // At first only short generations have ended. If only these counted, every length would look
+  // short, and the long ones that still run would fill the memory.
+  const withRunning = new routing.LengthDistribution();
+  const endedOnly = new routing.LengthDistribution();
   const short = Array.from({ length: 50 }, () => 20);
-  learn(honest, short);
-  learn(naive, short);
+  learn(withRunning, short);
+  learn(endedOnly, short);
   for (let i = 0; i < 50; i += 1) {
-    honest.recordProgress(0, routing.getBucket(1_500));
+    withRunning.recordProgress(0, routing.getBucket(1_500));
   }
-  t.ok(naive.getSurvival(0, 1_000) < 0.1);
-  const chance = honest.getSurvival(0, 1_000);
-  t.ok(chance > 0.4 && chance < 0.6, chance.toFixed(3));
+  t.ok(endedOnly.getSurvival(0, 1_000) < 0.1);
+  const probability = withRunning.getSurvival(0, 1_000);
+  t.ok(probability > 0.4 && probability < 0.6, probability.toFixed(3));
 });
 
-void tap.default.test('a change of mix is learned, the past fades', async (t) => {
+void tap.default.test('a change of the mix is learned, old observations decay', async (t) => {
   const distribution = new routing.LengthDistribution();
   learn(
     distribution,
--- a/packages/routing/tests/pool-owner.test.ts
+++ b/packages/routing/tests/pool-owner.test.ts
@@ -49,7 +49,7 @@
 }
 
 void tap.default.test(
-  'room is given until memory would fill, the rest waits its turn',
+  'capacity is granted until memory would overflow, the rest waits',
   async (t) => {
     const { owner } = createOwner();
     owner.setUpstreams([{ upstreamId: 'e1', isLeaving: false }]);
@@ -61,21 +61,24 @@
   },
 );
 
-void tap.default.test('an upstream that leaves gets nothing new, what waits moves', async (t) => {
-  const { owner } = createOwner();
-  owner.setUpstreams([{ upstreamId: 'e1', isLeaving: false }]);
-  ask(owner, 'g1');
-  owner.markLeaving('e1');
-  const waiting = ask(owner, 'g2');
-  t.equal(waiting.decision, undefined, 'it waits');
-  owner.setUpstreams([
-    { upstreamId: 'e1', isLeaving: true },
-    { upstreamId: 'e2', isLeaving: false },
-  ]);
-  t.equal(waiting.decision?.upstreamId, 'e2');
-});
+void tap.default.test(
+  'a leaving upstream gets nothing new, waiting requests go elsewhere',
+  async (t) => {
+    const { owner } = createOwner();
+    owner.setUpstreams([{ upstreamId: 'e1', isLeaving: false }]);
+    ask(owner, 'g1');
+    owner.markLeaving('e1');
+    const waiting = ask(owner, 'g2');
+    t.equal(waiting.decision, undefined, 'it waits');
+    owner.setUpstreams([
+      { upstreamId: 'e1', isLeaving: true },
+      { upstreamId: 'e2', isLeaving: false },
+    ]);
+    t.equal(waiting.decision?.upstreamId, 'e2');
+  },
+);
 
-void tap.default.test('refusals are final at once and say when to come back', async (t) => {
+void tap.default.test('refusals are immediate and final, with a retry delay', async (t) => {
   const cases = [
     {
       name: 'the queue of the team is full',
@@ -102,12 +105,12 @@
     prepare(owner);
     const { decision } = ask(owner, 'late', change);
     t.equal(decision?.reason, reason, name);
-    t.ok((decision?.retryAfterS ?? 0) >= 1, `${name}: when to come back`);
+    t.ok((decision?.retryAfterS ?? 0) >= 1, `${name}: retry delay`);
   });
 });
 
 void tap.default.test(
-  'a request that waited too long is refused, and withdrawn ones are gone',
+  'a request that waited too long is refused, and withdrawn ones are removed',
   async (t) => {
     const { clock, owner } = createOwner();
     const patient = ask(owner, 'g1', { patienceMs: 5_000 });
@@ -122,21 +125,23 @@
 );
 
 void tap.default.test(
-  'interactive work goes before drafts, aged drafts before other drafts',
+  'interactive work precedes batch work, aged batch work precedes other batch work',
   async (t) => {
     const { clock, owner } = createOwner();
     const old = ask(owner, 'old', { team: 'busy' });
     await clock.advance(30_000);
     const young = ask(owner, 'young', { team: 'idle' });
-    const check = ask(owner, 'check', {
+    const interactive = ask(owner, 'interactive-1', {
       workClass: 'interactive',
       promptTokens: 100,
       maxTokens: 20,
     });
     owner.setUpstreams([{ upstreamId: 'e1', isLeaving: false }]);
-    t.ok(check.decision !== undefined && old.decision !== undefined);
-    const order = [check, old, young].filter((item) => item.decision?.upstreamId !== undefined);
-    t.ok(order.length >= 2, 'the check and the aged draft fit');
+    t.ok(interactive.decision !== undefined && old.decision !== undefined);
+    const order = [interactive, old, young].filter(
+      (item) => item.decision?.upstreamId !== undefined,
+    );
+    t.ok(order.length >= 2, 'the interactive and the aged batch request fit');
   },
 );
 
@@ -170,9 +175,9 @@
 });
 
 void tap.default.test(
-  'a daemon that fell silent leaves the account, a new owner learns the others',
+  'a daemon without reports is dropped, a new owner registers the others',
   async (t) => {
-    // The daemon died with its streams. Its generations must not hold room for ever.
+    // The daemon crashed with its streams. Its generations must not use capacity forever.
     const { clock, owner } = createOwner();
     owner.setUpstreams([{ upstreamId: 'e1', isLeaving: false }]);
     owner.register({
@@ -187,14 +192,14 @@
       tokens: 500,
     });
     const waiting = ask(owner, 'g1');
-    t.equal(waiting.decision, undefined, 'the registered generation holds the room');
+    t.equal(waiting.decision, undefined, 'the registered generation uses the capacity');
     await clock.advance(11_000);
     owner.tick();
     t.equal(waiting.decision?.upstreamId, 'e1');
   },
 );
 
-void tap.default.test('work that a report shows beyond the account holds room', async (t) => {
+void tap.default.test('load in a report beyond the ledger uses capacity', async (t) => {
   const { owner } = createOwner({ capacityTokens: Infinity });
   owner.setUpstreams([{ upstreamId: 'e1', isLeaving: false }]);
   const report: schemas.LoadReport = {
@@ -216,13 +221,14 @@
   owner.tick();
   t.equal(owner.getSummary().waiting, 0);
   const late = ask(owner, 'g2', { promptTokens: 100, maxTokens: 50 });
-  t.equal(late.decision?.upstreamId, 'e1', 'a report that came late does not count');
+  t.equal(late.decision?.upstreamId, 'e1', 'an outdated report does not count');
 });
 
 void tap.default.test(
-  'a generation whose end was not heard does not hold room for ever',
+  'a generation whose end was not reported does not use capacity forever',
   async (t) => {
-    // The message that told of the end was lost; the daemon lives and no longer names the generation.
+    // The message about the end was lost; the daemon still reports and no longer lists the
+    // generation.
     const { clock, owner } = createOwner();
     owner.setUpstreams([{ upstreamId: 'e1', isLeaving: false }]);
     ask(owner, 'g1', { promptTokens: 3_000 });
