--- a/packages/routing/src/run-registry.ts
+++ b/packages/routing/src/run-registry.ts
@@ -107,8 +107,8 @@
       return;
     }
     this.checkedAt = now;
-    this.runs.forEach(({ expiresAt: endsAt, spec }) => {
-      if (now > endsAt + OVERDUE_MS) {
+    this.runs.forEach(({ expiresAt, spec }) => {
+      if (now > expiresAt + OVERDUE_MS) {
         this.remove(spec.callId);
       }
     });
