--- a/packages/routing/src/backup-engine-selector.ts
+++ b/packages/routing/src/backup-engine-selector.ts
@@ -66,7 +66,7 @@
     const targets = this.runs
       .listAt(run.engineId)
       .filter((other) => other !== run)
-      .map(({ backupEngineId: copyAt }) => copyAt);
+      .map(({ backupEngineId }) => backupEngineId);
     return this.findBest(run, excluded, placementLimits.PLACEMENT_LIMIT, now, (engine) => {
       const sharedRuns = targets.filter((target) => target === engine.engineId).length;
       const linkPenalty = engine.availabilityZone === run.zone ? 0 : CROSS_ZONE_LINK_WEIGHT;
--- a/packages/routing/src/crash-ledger.ts
+++ b/packages/routing/src/crash-ledger.ts
@@ -137,7 +137,8 @@
     const entry = this.entries.get(digest) ?? createEntry(digest);
     const { trial } = entry;
     const isTrialEnd = trial?.processId === end.processId;
-    // Another suspect may have been permitted there after the host received a permit that said there was none.
+    // Another suspect may have been permitted there after the host received a permit that said there
+    // was none.
     const wasAlone = isTrialEnd
       ? trial.isAlone
       : end.wasAlone || (knowsAllRuns && this.wasOnlySuspect(entry.facts, end.processId, now));
@@ -276,9 +277,9 @@
   /** Applies the changes that a leader reports. */
   public apply({ cleared, isWhole, suspects: all }: SuspectChanges, now: number): void {
     if (isWhole) {
-      const kept = new Set(all.map(({ digest }) => digest));
+      const listed = new Set(all.map(({ digest }) => digest));
       [...this.entries]
-        .filter(([digest, entry]) => isSuspect(entry) && !kept.has(digest))
+        .filter(([digest, entry]) => isSuspect(entry) && !listed.has(digest))
         .forEach(([digest]) => this.entries.delete(digest));
     }
     cleared.forEach((digest) => this.entries.delete(digest));
--- a/packages/routing/src/engine-ledger.ts
+++ b/packages/routing/src/engine-ledger.ts
@@ -55,12 +55,12 @@
       .forEach(({ engineId }) => this.runs.removeWorkAt(engineId));
     this.engines = new Map(
       engines.map((engine) => {
-        const known = former.get(engine.engineId);
-        const kept = isRestarted(known?.engine, engine) ? undefined : known;
+        const formerState = former.get(engine.engineId);
+        const keptState = isRestarted(formerState?.engine, engine) ? undefined : formerState;
         const occupancy = this.runs.getOccupancy(engine.engineId);
         return [
           engine.engineId,
-          new engineStates.EngineState(engine, occupancy, this.prefillRate, kept),
+          new engineStates.EngineState(engine, occupancy, this.prefillRate, keptState),
         ];
       }),
     );
--- a/packages/routing/src/memory-forecast.ts
+++ b/packages/routing/src/memory-forecast.ts
@@ -33,11 +33,11 @@
    * a second.
    */
   public update(tokens: number): void {
-    const held = this.generation.facts.promptTokens + tokens + BLOCK_TOKENS;
+    const heldTokens = this.generation.facts.promptTokens + tokens + BLOCK_TOKENS;
     this.generation.fillSurvival(tokens, FORECAST_OFFSETS, survival);
     this.relevantOffsets = 0;
     for (let i = 0; i < FORECAST_OFFSETS.length; i += 1) {
-      const size = held + FORECAST_OFFSETS[i]!;
+      const size = heldTokens + FORECAST_OFFSETS[i]!;
       const probability = survival[i]!;
       this.mean[i] = size * probability;
       this.variance[i] = size * size * probability * (1 - probability);
--- a/packages/routing/src/migration-scheduler.ts
+++ b/packages/routing/src/migration-scheduler.ts
@@ -32,7 +32,7 @@
 
 interface ActiveMigration {
   readonly engineId: string;
-  readonly endsAt: number;
+  readonly expiresAt: number;
 }
 
 /**
@@ -83,8 +83,8 @@
 
   /** Returns the runs that start to migrate now, and those whose hosts have waited long enough. */
   public dispatch(now: number): MigrationDecision<R>[] {
-    this.migrations.forEach(({ endsAt }, callId) => {
-      if (now >= endsAt) {
+    this.migrations.forEach(({ expiresAt }, callId) => {
+      if (now >= expiresAt) {
         // It is unknown whether the copy was made; copying the run twice is better than leaving it
         // without a copy.
         this.migrations.delete(callId);
@@ -142,7 +142,10 @@
 
   private start(run: R, targetEngineId: string, now: number): MigrationDecision<R> {
     this.removeCandidate(run.callId);
-    this.migrations.set(run.callId, { engineId: run.engineId, endsAt: now + MIGRATION_TIMEOUT_MS });
+    this.migrations.set(run.callId, {
+      engineId: run.engineId,
+      expiresAt: now + MIGRATION_TIMEOUT_MS,
+    });
     return { run, targetEngineId };
   }
 
--- a/packages/routing/src/pool-ledger.ts
+++ b/packages/routing/src/pool-ledger.ts
@@ -55,8 +55,8 @@
   /** Sets the upstreams of the pool. Returns the ids of those that were removed. */
   public setUpstreams(upstreams: readonly { upstreamId: string; isLeaving: boolean }[]): string[] {
     const ids = new Set(upstreams.map((item) => item.upstreamId));
-    const gone = [...this.upstreams.keys()].filter((id) => !ids.has(id));
-    gone.forEach((id) => this.removeUpstream(id));
+    const removedIds = [...this.upstreams.keys()].filter((id) => !ids.has(id));
+    removedIds.forEach((id) => this.removeUpstream(id));
     upstreams.forEach(({ upstreamId, isLeaving }) => {
       const existing = this.upstreams.get(upstreamId);
       const upstream =
@@ -64,7 +64,7 @@
       upstream.isLeaving = isLeaving;
       this.upstreams.set(upstreamId, upstream);
     });
-    return gone;
+    return removedIds;
   }
 
   /** Marks an upstream as leaving, at the first sign from any source. */
--- a/packages/routing/src/pool-owner.ts
+++ b/packages/routing/src/pool-owner.ts
@@ -66,8 +66,8 @@
 
   /** Sets the upstreams of the pool; removed ones are given nothing more. */
   public setUpstreams(upstreams: readonly { upstreamId: string; isLeaving: boolean }[]): void {
-    const gone = this.ledger.setUpstreams(upstreams);
-    gone.forEach((id) => this.affinity.forget(id));
+    const removedIds = this.ledger.setUpstreams(upstreams);
+    removedIds.forEach((id) => this.affinity.forget(id));
     this.grantAll();
   }
 
--- a/packages/routing/src/run-registry.ts
+++ b/packages/routing/src/run-registry.ts
@@ -84,8 +84,8 @@
 
   /** Drops empty entries of engines that are no longer listed. */
   public removeUnlisted(isListed: (engineId: string) => boolean): void {
-    this.byEngine.forEach((holdings, engineId) => {
-      if (holdings.isEmpty && !isListed(engineId)) {
+    this.byEngine.forEach((occupancy, engineId) => {
+      if (occupancy.isEmpty && !isListed(engineId)) {
         this.byEngine.delete(engineId);
       }
     });
@@ -96,9 +96,9 @@
    * process.
    */
   public removeWorkAt(engineId: string): void {
-    const holdings = this.byEngine.get(engineId);
-    holdings?.listRuns().forEach(({ spec }) => this.remove(spec.callId));
-    holdings?.listBackedUp().forEach(({ spec }) => this.setBackup(spec.callId, undefined));
+    const occupancy = this.byEngine.get(engineId);
+    occupancy?.listRuns().forEach(({ spec }) => this.remove(spec.callId));
+    occupancy?.listBackedUp().forEach(({ spec }) => this.setBackup(spec.callId, undefined));
   }
 
   /** A host that crashed did not release its generations; they must not use capacity forever. */
--- a/packages/routing/src/upstream-ledger.ts
+++ b/packages/routing/src/upstream-ledger.ts
@@ -31,12 +31,12 @@
 
   public constructor(
     public readonly upstreamId: string,
-    private readonly maxTokens: number,
+    private readonly capacityTokens: number,
   ) {}
 
   /** Returns the memory that may be filled, in tokens. */
   public getCapacity(): number {
-    const total = Math.min(this.report?.tokensTotal ?? Infinity, this.maxTokens);
+    const total = Math.min(this.report?.tokensTotal ?? Infinity, this.capacityTokens);
     return Math.max(total - this.unaccountedTokens, 1);
   }
 
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Applies a report. It describes a past moment, so only the excess over this ledger's own value
-   * at that moment counts: work of daemons that decided alone, or of a former owner.
+   * Applies a report. It describes a past moment, so only the excess over the highest value of
+   * this ledger since then counts: work of daemons that decided alone, or of a former owner.
    */
   public applyReport(report: schemas.LoadReport, now: number): void {
     if (this.report !== undefined && report.at <= this.report.at) {
