--- a/packages/requests/src/claim-acceptor.ts
+++ b/packages/requests/src/claim-acceptor.ts
@@ -2,22 +2,23 @@
 
 import * as types from './claim-types.js';
 
-/** How long a claim is remembered, in milliseconds; operators tell callers this. */
+/** How long an acceptor keeps a claim, in milliseconds. Operators publish this period to callers. */
 export const CLAIM_RETENTION_MS = 3_600_000;
 
-/** How many claims are given in one page of a recovery. */
-const PAGE = 2_000;
+/** The most claims in one page of a recovery. */
+const PAGE_RECORDS = 2_000;
 
-/** How long to wait before asking the other seats again, in milliseconds. */
-const ASK_AGAIN_MS = 250;
+/** The pause before another attempt to recover from the other acceptors, in milliseconds. */
+const RECOVERY_RETRY_MS = 250;
 
 const NO_BALLOT: types.Ballot = [0, ''];
 
 interface StoredRecord extends types.ClaimRecord {
-  order: number;
+  /** Increases with each change; the cursor of a recovery refers to it. */
+  sequence: number;
 }
 
-/** What a seat needs to know of its daemon. */
+/** The dependencies of a claim acceptor. */
 export interface ClaimAcceptorOptions {
   readonly daemonId: string;
   readonly incarnation: number;
@@ -27,59 +28,60 @@
 }
 
 /**
- * One seat of the claim group. It keeps claims in memory only, since few hosts have disks. A holder that
- * restarted or was newly seated has forgotten what the seat promised; a vote of it could let a second
- * dispatch through. So it answers nothing until enough other seats have told it everything that any
- * majority with this seat could have agreed, and they note from then on that the former holder is gone.
- * A majority that still counted the former holder is recognised by these notes and is not counted.
+ * The acceptor of the claim group on this host. It keeps claims in memory only, since few hosts have disks. After a
+ * restart, or when a slot is reassigned, the new holder lacks the promises of the slot, and its vote could allow a
+ * second dispatch. It therefore refuses claims until it has copied the records of enough other acceptors to cover
+ * every majority that included its slot. These acceptors store its epoch, by which proposers discard votes of the
+ * previous holder.
  */
 export class ClaimAcceptor {
-  private seats: readonly schemas.ClaimSeat[] = [];
-  private marks: types.AcceptorEpoch[] = [];
-  private seat = -1;
+  private slots: readonly schemas.ClaimSeat[] = [];
+  private epochs: types.AcceptorEpoch[] = [];
+  private slot = -1;
   private complete = false;
   private records = new Map<string, StoredRecord>();
-  private order = 0;
+  private sequence = 0;
 
   public constructor(private readonly options: ClaimAcceptorOptions) {}
 
-  /** Takes the seats in force; begins to recover when this daemon got one. */
-  public configure(seats: readonly schemas.ClaimSeat[], founders: readonly string[]): void {
+  /** Applies the slots in force and starts recovery when this daemon was assigned one. */
+  public configure(slots: readonly schemas.ClaimSeat[], founders: readonly string[]): void {
     const { daemonId, incarnation } = this.options;
-    const seat = seats.findIndex((item) => item.daemonId === daemonId);
-    const isNew = seat >= 0 && seats[seat]?.since !== this.seats[this.seat]?.since;
-    this.seats = seats;
-    this.seat = seat;
-    this.marks = seats.map(
-      (item, i) => types.mergeEpochs([this.marks[i] ?? [0, 0]], [[item.since, 0]])[0]!,
+    const slot = slots.findIndex((item) => item.daemonId === daemonId);
+    const isNew = slot >= 0 && slots[slot]?.since !== this.slots[this.slot]?.since;
+    this.slots = slots;
+    this.slot = slot;
+    this.epochs = slots.map(
+      (item, i) => types.mergeEpochs([this.epochs[i] ?? [0, 0]], [[item.since, 0]])[0]!,
     );
-    if (seat < 0) {
+    if (slot < 0) {
       this.complete = false;
       this.records.clear();
       return;
     }
     if (isNew) {
-      this.marks[seat] = [seats[seat]!.since, incarnation];
-      const isFounder = this.isFounding(seats) && founders.includes(`${daemonId}@${incarnation}`);
+      this.epochs[slot] = [slots[slot]!.since, incarnation];
+      const isFounder =
+        this.isFoundingGroup(slots) && founders.includes(`${daemonId}@${incarnation}`);
       this.records.clear();
       this.complete = isFounder;
       if (!isFounder) {
-        void this.recover(seats[seat]!.since);
+        void this.recover(slots[slot]!.since);
       }
     }
   }
 
-  /** Whether this seat counts. */
+  /** Returns whether this acceptor has recovered and votes. */
   public isComplete(): boolean {
     return this.complete;
   }
 
-  /** How many claims are remembered. */
+  /** Returns the number of stored claims. */
   public getSize(): number {
     return this.records.size;
   }
 
-  /** Promises, or accepts. */
+  /** Handles a prepare or accept request. */
   public handleClaim(req: types.ClaimReq): types.ClaimRes {
     const known = this.records.get(req.key);
     const promised = known?.promised ?? NO_BALLOT;
@@ -91,33 +93,33 @@
     }
     return {
       ok: !isRefused,
-      seat: this.seat,
-      marks: this.marks,
+      seat: this.slot,
+      marks: this.epochs,
       promised: isRefused ? promised : req.ballot,
       accepted: known?.accepted,
     };
   }
 
-  /** Gives a page of what is remembered, and notes that a seat has a new holder. */
+  /** Returns a page of the stored claims, and stores the new epoch of the slot that is recovering. */
   public handleRecover(req: types.RecoverReq): types.RecoverRes {
-    const noted = types.mergeEpochs([this.marks[req.seat] ?? [0, 0]], [req.mark]);
-    this.marks[req.seat] = noted[0]!;
-    const rest = [...this.records.values()].filter((record) => record.order > req.cursor);
-    const page = rest.slice(0, PAGE);
+    const merged = types.mergeEpochs([this.epochs[req.seat] ?? [0, 0]], [req.mark]);
+    this.epochs[req.seat] = merged[0]!;
+    const rest = [...this.records.values()].filter((record) => record.sequence > req.cursor);
+    const page = rest.slice(0, PAGE_RECORDS);
     return {
-      seat: this.seat,
+      seat: this.slot,
       isComplete: this.complete,
-      marks: this.marks,
-      records: page.map(({ order, ...record }) => ({
+      marks: this.epochs,
+      records: page.map(({ sequence, ...record }) => ({
         ...record,
         at: record.at - this.options.clock.now(),
       })),
-      cursor: page.at(-1)?.order ?? req.cursor,
+      cursor: page.at(-1)?.sequence ?? req.cursor,
       isLast: page.length === rest.length,
     };
   }
 
-  /** Forgets claims whose time is over. */
+  /** Deletes claims older than the retention period. */
   public expire(): void {
     const oldest = this.options.clock.now() - CLAIM_RETENTION_MS;
     for (const [key, record] of this.records) {
@@ -128,42 +130,48 @@
   }
 
   private store(record: types.ClaimRecord): void {
-    this.order += 1;
+    this.sequence += 1;
     this.records.delete(record.key);
-    this.records.set(record.key, { ...record, order: this.order });
+    this.records.set(record.key, { ...record, sequence: this.sequence });
   }
 
-  private isFounding(seats: readonly schemas.ClaimSeat[]): boolean {
-    return seats.length > 0 && seats.every((item) => item.since === seats[0]?.since);
+  private isFoundingGroup(slots: readonly schemas.ClaimSeat[]): boolean {
+    return slots.length > 0 && slots.every((item) => item.since === slots[0]?.since);
   }
 
   private async recover(since: number): Promise<void> {
     const { clock, log } = this.options;
-    const isCurrent = () => this.seats[this.seat]?.since === since;
+    const isCurrent = () => this.slots[this.slot]?.since === since;
     while (isCurrent() && !this.complete) {
-      const told = new Set<number>();
-      const others = this.seats.filter((_, i) => i !== this.seat);
-      await Promise.all(others.map((item) => this.copyFrom(item.daemonId, told)));
-      // Any majority that had this seat has this many others at least one in common with these.
-      const needed = this.seats.length - Math.floor(this.seats.length / 2);
-      if (isCurrent() && told.size >= needed) {
+      const copied = new Set<number>();
+      const others = this.slots.filter((_, i) => i !== this.slot);
+      await Promise.all(others.map((item) => this.copyFrom(item.daemonId, copied)));
+      // A majority that included this slot has at least floor(n/2) of the n - 1 others. Copying from n - floor(n/2) of
+      // them leaves out fewer than that, so at least one member of each such majority is among those copied.
+      const needed = this.slots.length - Math.floor(this.slots.length / 2);
+      if (isCurrent() && copied.size >= needed) {
         this.complete = true;
-        log.info({ decision: 'claim-seat', seat: this.seat, reason: 'recovered', from: told.size });
+        log.info({
+          decision: 'claim-seat',
+          seat: this.slot,
+          reason: 'recovered',
+          from: copied.size,
+        });
       } else {
-        await clock.sleep(ASK_AGAIN_MS);
+        await clock.sleep(RECOVERY_RETRY_MS);
       }
     }
   }
 
-  private async copyFrom(daemonId: string, told: Set<number>): Promise<void> {
+  private async copyFrom(daemonId: string, copied: Set<number>): Promise<void> {
     const { transport } = this.options;
-    const mark = this.marks[this.seat]!;
+    const epoch = this.epochs[this.slot]!;
     let cursor = 0;
     try {
       for (;;) {
-        const res = await transport.recover(daemonId, { seat: this.seat, mark, cursor });
+        const res = await transport.recover(daemonId, { seat: this.slot, mark: epoch, cursor });
         const isStale = types.isLater(
-          this.marks[res.seat] ?? [0, 0],
+          this.epochs[res.seat] ?? [0, 0],
           res.marks[res.seat] ?? [0, 0],
         );
         if (!res.isComplete || res.seat < 0 || isStale) {
@@ -172,12 +180,12 @@
         res.records.forEach((record) => this.merge(record));
         cursor = res.cursor;
         if (res.isLast) {
-          told.add(res.seat);
+          copied.add(res.seat);
           return;
         }
       }
     } catch {
-      // It is asked again with the others.
+      // The recovery loop sends the request again.
     }
   }
 
--- a/packages/requests/src/claim-proposer.ts
+++ b/packages/requests/src/claim-proposer.ts
@@ -2,13 +2,16 @@
 
 import * as types from './claim-types.js';
 
-/** How often a claim is tried again after another proposer came in between. */
+/** The most rounds per claim; a claim that other proposers preempt in all of them is refused. */
 const MAX_ROUNDS = 12;
 
-/** The longest pause between two rounds, in milliseconds. */
-const PAUSE_MS = 40;
+/**
+ * The upper bound of the random pause after the first round, in milliseconds. It grows linearly with the rounds, so
+ * that competing proposers stop preempting each other.
+ */
+const BACKOFF_MS = 40;
 
-/** What a proposer needs. */
+/** The dependencies of a proposer. */
 export interface ClaimProposerOptions {
   readonly daemonId: string;
   readonly transport: types.ClaimTransport;
@@ -17,85 +20,90 @@
   readonly getAcceptors: () => readonly schemas.ClaimSeat[];
 }
 
-/** Answers of seats that may be counted together. */
-interface Round {
+/** The combined responses of the acceptors in one phase. */
+interface PhaseResult {
   readonly accepted: types.ClaimRecord['accepted'];
   readonly highest: types.Ballot;
-  readonly isAgreed: boolean;
+  readonly hasMajority: boolean;
 }
 
-/** Settles claims: the first value that a majority of seats accepts for a key stays for good. */
+/**
+ * Runs the Paxos-like claim protocol as a proposer. The first value that a majority of acceptors accepts for a key is
+ * final until the claim expires.
+ */
 export class ClaimProposer {
   private counter = 0;
 
   public constructor(private readonly options: ClaimProposerOptions) {}
 
-  /** The value of a key, or nothing when none has been accepted. Settles one that was half accepted. */
+  /**
+   * Returns the value of a key, or `undefined` when none was accepted. Completes one that only a minority accepted.
+   */
   public async find(key: string): Promise<types.ClaimValue | undefined> {
-    return this.settle(key, undefined);
+    return this.choose(key, undefined);
   }
 
-  /** Claims a key; gives back whichever value holds it, ours or another's. */
+  /** Claims a key and returns the chosen value, which may be that of another proposer. */
   public async claim(key: string, value: types.ClaimValue): Promise<types.ClaimValue> {
-    const settled = await this.settle(key, value);
-    return settled ?? value;
+    const chosen = await this.choose(key, value);
+    return chosen ?? value;
   }
 
-  private async settle(
+  private async choose(
     key: string,
-    ours: types.ClaimValue | undefined,
+    proposed: types.ClaimValue | undefined,
   ): Promise<types.ClaimValue | undefined> {
     for (let i = 0; i < MAX_ROUNDS; i += 1) {
       this.counter += 1;
       const ballot: types.Ballot = [this.counter, this.options.daemonId];
-      const promise = await this.ask({ key, ballot });
-      if (promise.isAgreed) {
-        const value = promise.accepted?.value ?? ours;
+      const promise = await this.sendToAcceptors({ key, ballot });
+      if (promise.hasMajority) {
+        const value = promise.accepted?.value ?? proposed;
         if (value === undefined) {
           return undefined;
         }
-        const acceptance = await this.ask({ key, ballot, value });
-        if (acceptance.isAgreed) {
+        const acceptance = await this.sendToAcceptors({ key, ballot, value });
+        if (acceptance.hasMajority) {
           return value;
         }
         this.counter = Math.max(this.counter, acceptance.highest[0]);
       }
       this.counter = Math.max(this.counter, promise.highest[0]);
-      await this.options.clock.sleep(this.options.random() * PAUSE_MS * (i + 1));
+      await this.options.clock.sleep(this.options.random() * BACKOFF_MS * (i + 1));
     }
     throw new schemas.StepError({ id: 'claimRefused', step: 'claim' });
   }
 
-  private async ask(req: Omit<types.ClaimReq, 'since'>): Promise<Round> {
-    const { getAcceptors: getSeats, transport } = this.options;
-    const seats = getSeats();
-    const since = seats.map((seat) => seat.since);
-    const answers: types.ClaimRes[] = [];
-    const needed = Math.floor(seats.length / 2) + 1;
-    if (seats.length === 0) {
+  private async sendToAcceptors(req: Omit<types.ClaimReq, 'since'>): Promise<PhaseResult> {
+    const { getAcceptors, transport } = this.options;
+    const acceptors = getAcceptors();
+    const since = acceptors.map((acceptor) => acceptor.since);
+    const responses: types.ClaimRes[] = [];
+    const needed = Math.floor(acceptors.length / 2) + 1;
+    if (acceptors.length === 0) {
       throw new schemas.StepError({ id: 'claimRefused', step: 'claim' });
     }
-    let open = seats.length;
+    let pending = acceptors.length;
     await new Promise<void>((resolve) => {
-      seats.forEach((seat) => {
+      acceptors.forEach((acceptor) => {
         void transport
-          .claim(seat.daemonId, { ...req, since })
-          .then((res) => answers.push(res))
+          .claim(acceptor.daemonId, { ...req, since })
+          .then((res) => responses.push(res))
           .catch(() => {})
           .then(() => {
-            open -= 1;
-            if (open === 0 || countAgreed(answers) >= needed) {
+            pending -= 1;
+            if (pending === 0 || countAgreed(responses) >= needed) {
               resolve();
             }
           });
       });
     });
-    return this.judge(answers, needed);
+    return this.combine(responses, needed);
   }
 
-  private judge(answers: readonly types.ClaimRes[], needed: number): Round {
-    const isAgreed = countAgreed(answers) >= needed;
-    const accepted = answers
+  private combine(responses: readonly types.ClaimRes[], needed: number): PhaseResult {
+    const hasMajority = countAgreed(responses) >= needed;
+    const accepted = responses
       .map((res) => res.accepted)
       .filter((item) => item !== undefined)
       .reduce<types.ClaimRecord['accepted']>(
@@ -103,24 +111,24 @@
           best === undefined || types.isHigher(item.ballot, best.ballot) ? item : best,
         undefined,
       );
-    const highest = answers.reduce<types.Ballot>(
+    const highest = responses.reduce<types.Ballot>(
       (best, res) => (types.isHigher(res.promised, best) ? res.promised : best),
       [0, ''],
     );
-    return { accepted, highest, isAgreed };
+    return { accepted, highest, hasMajority };
   }
 }
 
 /**
- * How many answers agree and may be counted together. A holder that answered and then lost its memory is
- * known to the others by its successor; counted with them it would make a majority that nobody remembers.
+ * Counts the slots that agreed. A response from an epoch that another response shows to be superseded is not counted:
+ * its acceptor has lost its state since, so a majority with it could be one that no acceptor has a record of.
  */
-function countAgreed(answers: readonly types.ClaimRes[]): number {
-  const latest = answers.reduce<types.AcceptorEpoch[]>(
+function countAgreed(responses: readonly types.ClaimRes[]): number {
+  const latest = responses.reduce<types.AcceptorEpoch[]>(
     (all, res) => types.mergeEpochs(all, res.marks),
     [],
   );
-  const agreed = answers.filter(
+  const agreed = responses.filter(
     (res) =>
       res.ok &&
       res.seat >= 0 &&
--- a/packages/requests/src/claim-types.ts
+++ b/packages/requests/src/claim-types.ts
@@ -1,18 +1,18 @@
 import * as z from 'zod';
 
-/** A proposal's number; the daemon breaks ties. */
+/** The ballot number of a proposal: a counter, and the proposer's id as the tie-breaker. */
 export const ballot = z.tuple([z.int(), z.string()]);
 
-/** A proposal's number. */
+/** The ballot number of a proposal. */
 export type Ballot = z.infer<typeof ballot>;
 
-/** Who holds a seat: since which revision, and which incarnation of the process. */
+/** The epoch of an acceptor slot: the revision since which its holder has it, and the incarnation of that process. */
 export const acceptorEpoch = z.tuple([z.int(), z.number()]);
 
-/** Who holds a seat. */
+/** The epoch of an acceptor slot. */
 export type AcceptorEpoch = z.infer<typeof acceptorEpoch>;
 
-/** What a claim says: who runs the call, and where. It carries no prompt and no answer. */
+/** The value of a claim: which daemon runs the call, and on which upstream. Contains no prompt and no response. */
 export const claimValue = z.object({
   call: z.string(),
   daemonId: z.string(),
@@ -23,10 +23,10 @@
   requestHash: z.string(),
 });
 
-/** What a claim says. */
+/** The value of a claim. */
 export type ClaimValue = z.infer<typeof claimValue>;
 
-/** One claim as a seat remembers it. */
+/** The state of one claim at an acceptor; in a recovery page `at` is relative to the time of sending. */
 export const claimRecord = z.object({
   key: z.string(),
   promised: ballot,
@@ -34,10 +34,10 @@
   at: z.number(),
 });
 
-/** One claim as a seat remembers it. */
+/** The state of one claim at an acceptor. */
 export type ClaimRecord = z.infer<typeof claimRecord>;
 
-/** Asks a seat to promise, or with a value to accept. */
+/** A request to an acceptor: prepare without a value, accept with one. */
 export const claimReq = z.object({
   key: z.string(),
   ballot,
@@ -45,29 +45,29 @@
   since: z.array(z.int()),
 });
 
-/** Asks a seat to promise, or to accept. */
+/** A prepare or accept request. */
 export type ClaimReq = z.infer<typeof claimReq>;
 
-/** A seat's answer. */
+/** An acceptor's response to a prepare or accept request. */
 export const claimRes = z.object({
   ok: z.boolean(),
   seat: z.int(),
-  /** The highest holder that this seat knows of, for each seat. */
+  /** For each slot, the latest epoch that this acceptor has seen. */
   marks: z.array(acceptorEpoch),
   promised: ballot,
   accepted: z.object({ ballot, value: claimValue }).optional(),
 });
 
-/** A seat's answer. */
+/** An acceptor's response to a prepare or accept request. */
 export type ClaimRes = z.infer<typeof claimRes>;
 
-/** Asks a seat for a page of what it remembers. */
+/** A request of a recovering acceptor for a page of another acceptor's records. */
 export const recoverReq = z.object({ seat: z.int(), mark: acceptorEpoch, cursor: z.int() });
 
-/** Asks a seat for a page of what it remembers. */
+/** A request for a page of an acceptor's records. */
 export type RecoverReq = z.infer<typeof recoverReq>;
 
-/** A page of what a seat remembers. */
+/** A page of an acceptor's records. */
 export const recoverRes = z.object({
   seat: z.int(),
   isComplete: z.boolean(),
@@ -77,26 +77,26 @@
   isLast: z.boolean(),
 });
 
-/** A page of what a seat remembers. */
+/** A page of an acceptor's records. */
 export type RecoverRes = z.infer<typeof recoverRes>;
 
-/** How a proposer or a recovering seat reaches another seat's holder. */
+/** Sends the requests of a proposer or of a recovering acceptor to an acceptor. */
 export interface ClaimTransport {
   claim(daemonId: string, req: ClaimReq): Promise<ClaimRes>;
   recover(daemonId: string, req: RecoverReq): Promise<RecoverRes>;
 }
 
-/** Whether one proposal number is higher than another. */
+/** Returns whether ballot `a` is higher than ballot `b`. */
 export function isHigher(a: Ballot, b: Ballot): boolean {
   return a[0] !== b[0] ? a[0] > b[0] : a[1] > b[1];
 }
 
-/** Whether one holder of a seat came after another. */
+/** Returns whether epoch `a` of a slot is later than epoch `b`. */
 export function isLater(a: AcceptorEpoch, b: AcceptorEpoch): boolean {
   return a[0] !== b[0] ? a[0] > b[0] : a[1] > b[1];
 }
 
-/** The later holder of each seat. */
+/** Returns the later epoch of each slot. */
 export function mergeEpochs(
   a: readonly AcceptorEpoch[],
   b: readonly AcceptorEpoch[],
--- a/packages/requests/tests/support/claim-group.ts
+++ b/packages/requests/tests/support/claim-group.ts
@@ -7,72 +7,72 @@
 interface Host {
   readonly daemonId: string;
   incarnation: number;
-  seat: requests.ClaimAcceptor;
+  acceptor: requests.ClaimAcceptor;
   readonly proposer: requests.ClaimProposer;
   isUp: boolean;
 }
 
-/** A claim group in one process, on virtual time, over links that lose, delay and are cut. */
+/** A claim group in one process, on virtual time, over links with message loss, delays and partitions. */
 export class ClaimGroup {
   public readonly clock = new schemas.VirtualClock();
   public readonly hosts = new Map<string, Host>();
-  public seats: schemas.ClaimSeat[];
-  public lost = 0;
+  public slots: schemas.ClaimSeat[];
+  public lossRate = 0;
   public maxDelayMs = 4;
   private readonly founders: string[];
-  private readonly cuts = new Set<string>();
+  private readonly blockedLinks = new Set<string>();
   private readonly rng: ReturnType<typeof xoroshiro.xoroshiro128plus>;
   private revision = 1;
 
-  public constructor(seated: readonly string[], spares: readonly string[], seed: number) {
+  public constructor(slotHolders: readonly string[], spares: readonly string[], seed: number) {
     this.rng = xoroshiro.xoroshiro128plus(seed);
-    this.seats = seated.map((daemonId) => ({ daemonId, since: 1 }));
-    this.founders = seated.map((daemonId) => `${daemonId}@1`);
-    [...seated, ...spares].forEach((daemonId) => this.boot(daemonId, 1));
+    this.slots = slotHolders.map((daemonId) => ({ daemonId, since: 1 }));
+    this.founders = slotHolders.map((daemonId) => `${daemonId}@1`);
+    [...slotHolders, ...spares].forEach((daemonId) => this.start(daemonId, 1));
   }
 
-  /** A number from 0 up to 1. */
+  /** Returns a random number in [0, 1). */
   public random(): number {
     return (this.rng.next() >>> 0) / 2 ** 32;
   }
 
-  /** Ends a host; what its seat remembered is gone. */
+  /** Stops a host; the state of its acceptor is lost. */
   public kill(daemonId: string): void {
     this.hosts.get(daemonId)!.isUp = false;
   }
 
-  /** Starts a host again as a new incarnation. */
+  /** Restarts a host as a new incarnation. */
   public restart(daemonId: string): void {
-    this.boot(daemonId, this.hosts.get(daemonId)!.incarnation + 1);
+    this.start(daemonId, this.hosts.get(daemonId)!.incarnation + 1);
   }
 
-  /** Gives a seat to another host. */
+  /** Reassigns a slot to another host. */
   public replace(from: string, to: string): void {
     this.revision += 1;
-    this.seats = this.seats.map((seat) =>
-      seat.daemonId === from ? { daemonId: to, since: this.revision } : seat,
+    this.slots = this.slots.map((slot) =>
+      slot.daemonId === from ? { daemonId: to, since: this.revision } : slot,
     );
-    this.hosts.forEach((host) => host.seat.configure(this.seats, this.founders));
+    this.hosts.forEach((host) => host.acceptor.configure(this.slots, this.founders));
   }
 
-  /** Cuts both ways between two hosts. */
+  /** Blocks messages between two hosts in both directions. */
   public cut(a: string, b: string): void {
-    this.cuts.add(`${a}>${b}`);
-    this.cuts.add(`${b}>${a}`);
+    this.blockedLinks.add(`${a}>${b}`);
+    this.blockedLinks.add(`${b}>${a}`);
   }
 
-  /** Mends every link. */
+  /** Unblocks all links. */
   public heal(): void {
-    this.cuts.clear();
+    this.blockedLinks.clear();
   }
 
-  /** The proposer of a host; a process has one, so that its proposal numbers never repeat. */
+  /** Returns the proposer of a host; a process has only one, so that its ballot numbers never repeat. */
   public getProposer(daemonId: string): requests.ClaimProposer {
     return this.hosts.get(daemonId)!.proposer;
   }
 
-  private boot(daemonId: string, incarnation: number): void {
-    const seat = new requests.ClaimAcceptor({
+  private start(daemonId: string, incarnation: number): void {
+    const acceptor = new requests.ClaimAcceptor({
       daemonId,
       incarnation,
       clock: this.clock,
@@ -84,17 +84,17 @@
       transport: this.createTransport(daemonId),
       clock: this.clock,
       random: () => this.random(),
-      getAcceptors: () => this.seats,
+      getAcceptors: () => this.slots,
     });
-    this.hosts.set(daemonId, { daemonId, incarnation, seat, proposer, isUp: true });
-    seat.configure(this.seats, this.founders);
+    this.hosts.set(daemonId, { daemonId, incarnation, acceptor, proposer, isUp: true });
+    acceptor.configure(this.slots, this.founders);
   }
 
   private createTransport(from: string): requests.ClaimTransport {
     return {
       claim: (to, req) =>
-        this.send(from, to, (host) => host.seat.handleClaim(structuredClone(req))),
-      recover: (to, req) => this.send(from, to, (host) => host.seat.handleRecover(req)),
+        this.send(from, to, (host) => host.acceptor.handleClaim(structuredClone(req))),
+      recover: (to, req) => this.send(from, to, (host) => host.acceptor.handleRecover(req)),
     };
   }
 
@@ -107,20 +107,20 @@
 
   private async deliver<T>(from: string, to: string, handle: (host: Host) => T): Promise<T> {
     const sender = this.hosts.get(from);
-    await this.travel(from, to);
+    await this.transmit(from, to);
     const host = this.hosts.get(to);
     if (host === undefined || !host.isUp) {
       return new Promise<T>(() => {});
     }
-    const answer = structuredClone(handle(host));
-    await this.travel(to, from);
-    // An answer to a process that has died since reaches nobody.
-    return this.hosts.get(from) === sender ? answer : new Promise<T>(() => {});
+    const response = structuredClone(handle(host));
+    await this.transmit(to, from);
+    // A response to a process that was restarted in the meantime is dropped.
+    return this.hosts.get(from) === sender ? response : new Promise<T>(() => {});
   }
 
-  private async travel(from: string, to: string): Promise<void> {
+  private async transmit(from: string, to: string): Promise<void> {
     await this.clock.sleep(this.random() * this.maxDelayMs);
-    if (from !== to && (this.cuts.has(`${from}>${to}`) || this.random() < this.lost)) {
+    if (from !== to && (this.blockedLinks.has(`${from}>${to}`) || this.random() < this.lossRate)) {
       await new Promise(() => {});
     }
   }
