--- a/packages/requests/src/answer-body.ts
+++ b/packages/requests/src/answer-body.ts
@@ -1,28 +1,28 @@
 import type * as upstreamClients from './upstream-client.js';
 import * as upstreamErrors from './upstream-error.js';
 
-/** The byte with which each line of an event stream ends. */
-const LINE_END = 0x0a;
+/** The byte that ends each line of an event stream. */
+const LINE_FEED = 0x0a;
 
-/** What is read of an answer: bytes up to a limit, and whether there is more. */
+/** The body of a response as far as it was read, and whether that is all of it. */
 export interface AnswerBody {
   readonly bytes: Buffer;
   readonly isWhole: boolean;
 }
 
 /**
- * Reads an answer's body until it ends or passes `mostBytes`. It ends well only where the protocol says that
- * it is whole: a body that is cut or reset, with or without a length, is an error of the connection.
+ * Reads a response body until it ends or exceeds `maxBytes`. It counts as complete only if HTTP marks its end: a body
+ * that is truncated or reset, with or without a length, is a connection error.
  */
 export async function readAnswer(
   answer: upstreamClients.UpstreamAnswer,
-  mostBytes: number,
+  maxBytes: number,
   peer: string,
 ): Promise<AnswerBody> {
   const parts: Buffer[] = [];
   let size = 0;
   try {
-    while (size <= mostBytes) {
+    while (size <= maxBytes) {
       const part = await readPart(answer);
       if (part === undefined) {
         return { bytes: Buffer.concat(parts), isWhole: true };
@@ -36,7 +36,7 @@
   }
 }
 
-/** Yields an answer's body as it comes; a stream of events that ends inside an event is broken. */
+/** Yields a response body as it arrives; throws if a stream of events ends inside an event. */
 export async function* relayAnswer(
   answer: upstreamClients.UpstreamAnswer,
   isStream: boolean,
@@ -55,25 +55,25 @@
   } catch (err) {
     throw upstreamErrors.createUpstreamError(err, 'relay-answer', peer);
   }
-  // An answer without a length ends with its connection, and so does one whose upstream died. Events end with
-  // an empty line; a stream that stops elsewhere is known to be cut.
-  if (isStream && !last.equals(Buffer.from([LINE_END, LINE_END]))) {
+  // A response without a length ends with its connection, and so does one whose upstream exited. Events end with an
+  // empty line, so a stream that ends elsewhere was truncated.
+  if (isStream && !last.equals(Buffer.from([LINE_FEED, LINE_FEED]))) {
     throw new upstreamErrors.UpstreamError('lost', 'relay-answer', peer);
   }
 }
 
-/** Waits for the next bytes, or for the end of the body. */
+/** Waits for the next bytes; returns `undefined` at the end of the body. */
 async function readPart(answer: upstreamClients.UpstreamAnswer): Promise<Buffer | undefined> {
   const part = await readNext(answer);
-  // The HTTP library takes a reset for the end of an answer that has no length, and half of it would look whole.
-  // The reset may have been that of another connection to the same upstream; then a whole answer is given up.
+  // The HTTP library treats a reset as the end of a response without a length, so a truncated one would look complete.
+  // The reset may belong to another connection to the same upstream; a complete response is then discarded.
   if (part === undefined && hasNoLength(answer)) {
-    // Whether it was a reset is known one turn of the event loop after the end.
+    // A reset is reported one turn of the event loop after the end.
     await new Promise((resolve) => {
       setImmediate(resolve);
     });
     if (answer.wasReset()) {
-      throw new Error('the answer was reset');
+      throw new Error('a connection to the upstream was reset before the end of the response');
     }
   }
   return part;
@@ -107,13 +107,13 @@
     };
     const onEnd = () => settle(() => resolve(undefined));
     const onError = (err: Error) => settle(() => reject(err));
-    const onClose = () => settle(() => reject(new Error('the answer was cut off')));
+    const onClose = () => settle(() => reject(new Error('the response was truncated')));
     body.on('readable', onReadable);
     body.once('end', onEnd);
     body.once('error', onError);
     body.once('close', onClose);
     if (body.destroyed) {
-      onError(body.errored ?? new Error('the answer was cut off'));
+      onError(body.errored ?? new Error('the response was truncated'));
     }
   });
 }
--- a/packages/requests/src/chunk-reader.ts
+++ b/packages/requests/src/chunk-reader.ts
@@ -1,17 +1,17 @@
 import type * as stream from 'node:stream';
 
-/** How many chunks may wait before the stream is paused; nothing is read for a caller that is slow. */
-const MAX_WAITING = 16;
+/** The most buffered chunks; beyond it the stream is paused, so that a slow caller takes no unlimited memory. */
+const MAX_BUFFERED_CHUNKS = 16;
 
 /**
- * Reads a stream chunk by chunk. It does what the stream's own iterator does, with a third of its promises
- * for each chunk: that iterator was the largest part of what a relayed token cost.
+ * Reads a stream chunk by chunk. It is equivalent to the stream's async iterator, but creates a third of the promises
+ * per chunk; the iterator was the largest part of the cost of relaying a token.
  */
 export class ChunkReader {
-  private readonly waiting: Buffer[] = [];
-  private isOver = false;
+  private readonly buffered: Buffer[] = [];
+  private hasEnded = false;
   private failure: Error | undefined;
-  private wake: (() => void) | undefined;
+  private resolveNext: (() => void) | undefined;
 
   public constructor(private readonly body: stream.Readable) {
     body.on('data', (chunk: Buffer) => this.take(chunk));
@@ -20,40 +20,40 @@
     body.on('error', (err) => this.finish(err));
   }
 
-  /** The next chunk, or nothing at the end; throws when the stream failed and all before it is read. */
+  /** Returns the next chunk, or `undefined` at the end; throws an error of the stream after all chunks before it. */
   public async next(): Promise<Buffer | undefined> {
-    if (this.waiting.length === 0 && !this.isOver) {
+    if (this.buffered.length === 0 && !this.hasEnded) {
       await new Promise<void>((resolve) => {
-        this.wake = resolve;
+        this.resolveNext = resolve;
       });
     }
-    const chunk = this.waiting.shift();
+    const chunk = this.buffered.shift();
     if (chunk === undefined && this.failure !== undefined) {
       throw this.failure;
     }
-    if (this.body.isPaused() && this.waiting.length === 0) {
+    if (this.body.isPaused() && this.buffered.length === 0) {
       this.body.resume();
     }
     return chunk;
   }
 
   private take(chunk: Buffer): void {
-    this.waiting.push(chunk);
-    if (this.waiting.length >= MAX_WAITING) {
+    this.buffered.push(chunk);
+    if (this.buffered.length >= MAX_BUFFERED_CHUNKS) {
       this.body.pause();
     }
-    this.wakeReader();
+    this.notifyReader();
   }
 
   private finish(err?: Error): void {
-    this.isOver = true;
+    this.hasEnded = true;
     this.failure ??= err;
-    this.wakeReader();
+    this.notifyReader();
   }
 
-  private wakeReader(): void {
-    const { wake } = this;
-    this.wake = undefined;
-    wake?.();
+  private notifyReader(): void {
+    const { resolveNext } = this;
+    this.resolveNext = undefined;
+    resolveNext?.();
   }
 }
--- a/packages/requests/src/drain.ts
+++ b/packages/requests/src/drain.ts
@@ -1,6 +1,6 @@
 import * as schemas from '@bramleyridge/schemas';
 
-/** Counts what runs in this daemon, so that a planned stop can wait for all of it. */
+/** Counts the running requests of this daemon, so that a planned stop can wait for all of them. */
 export class Drain {
   private readonly changed = new schemas.ChangeSignal();
   private active = 0;
@@ -8,38 +8,38 @@
 
   public constructor(private readonly clock: schemas.Clock) {}
 
-  /** Whether the daemon is stopping. */
+  /** Returns whether the daemon is stopping. */
   public isDraining(): boolean {
     return this.draining;
   }
 
-  /** How many requests run. */
+  /** Returns the number of running requests. */
   public getActive(): number {
     return this.active;
   }
 
-  /** Counts a request until the function that it gives is called. */
+  /** Counts a request as running until the returned function is called. */
   public enter(): () => void {
-    let isOpen = true;
+    let isRunning = true;
     this.active += 1;
     return () => {
-      if (isOpen) {
-        isOpen = false;
+      if (isRunning) {
+        isRunning = false;
         this.active -= 1;
         this.changed.notify();
       }
     };
   }
 
-  /** Begins the stop; requests that still come through the balancer's lag are served. */
+  /** Starts draining. Requests that still arrive, until the load balancer notices, are served. */
   public begin(): void {
     this.draining = true;
     this.changed.notify();
   }
 
   /**
-   * Resolves when nothing has run for `quietMs`. There is no limit on the wait: a spot log may take an
-   * hour, and cutting it off would break the promise that a planned stop cuts no request.
+   * Resolves when no request has run for `quietMs`. The wait has no time limit: a spot log may take an hour, and
+   * ending it early would break the guarantee that a planned stop interrupts no request.
    */
   public async waitIdle(quietMs: number): Promise<void> {
     let idleSince = this.clock.now();
--- a/packages/requests/src/end-to-end-headers.ts
+++ b/packages/requests/src/end-to-end-headers.ts
@@ -1,6 +1,6 @@
 import type * as http from 'node:http';
 
-/** Headers that belong to one connection and are not passed on. */
+/** Hop-by-hop headers, which apply to one connection and are not forwarded. */
 const HOP_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -13,7 +13,7 @@
   'expect',
 ]);
 
-/** The headers that are passed on: all but those of one connection, and those that it names itself. */
+/** Returns the headers to forward: all but hop-by-hop headers and those that the `connection` header names. */
 export function pickEndToEndHeaders(
   headers: http.IncomingHttpHeaders,
 ): Record<string, string | string[]> {
--- a/packages/requests/src/engine-client.ts
+++ b/packages/requests/src/engine-client.ts
@@ -5,26 +5,29 @@
 
 import * as upstreamErrors from './upstream-error.js';
 
-/** The header by which an upstream says that it did not run a call. */
+/** The response header by which an upstream reports that it did not run a call. */
 export const NOT_RUN_HEADER = 'x-not-run';
 
-/** How long an idle connection is kept; shorter than any middlebox is known to forget one. */
+/**
+ * How long an idle connection is kept, in milliseconds; shorter than any known middlebox time-out, which drops
+ * connections silently.
+ */
 const KEEP_ALIVE_MS = 4_000;
 
-/** What an engine says of a generation that it was told to cancel. */
+/** The response of an engine to the cancellation of a generation. */
 export interface CancelAnswer {
-  /** `unknown`: it never began, and now never will. */
+  /** `unknown`: the generation never started, and the engine will not start it any more. */
   readonly state: 'unknown' | 'cancelled' | 'ended';
   readonly tokens: number;
 }
 
-/** The deadlines of calls to upstreams, in milliseconds. */
+/** The time limits of calls to engines, in milliseconds. */
 export interface EngineTimings {
   readonly connectMs: number;
   readonly answerMs: number;
 }
 
-/** Talks to engines by their published protocol. */
+/** A client of the engines' published protocol. */
 export class EngineClient {
   private readonly agent: undici.Agent;
 
@@ -33,13 +36,13 @@
       connect: { timeout: timings.connectMs },
       keepAliveTimeout: KEEP_ALIVE_MS,
       keepAliveMaxTimeout: KEEP_ALIVE_MS,
-      // The relay has its own, shorter limit on silence.
+      // The relay has its own, shorter limit on the time between chunks.
       bodyTimeout: 0,
       headersTimeout: 0,
     });
   }
 
-  /** Begins a generation and gives its stream once the engine has accepted it. */
+  /** Starts a generation and returns its event stream once the engine has accepted it. */
   public async start(
     upstream: schemas.Upstream,
     path: string,
@@ -64,7 +67,7 @@
     );
   }
 
-  /** Continues a generation at an offset, always on a connection of its own. */
+  /** Resumes the event stream of a generation at an offset, always on a new connection. */
   public async resume(
     upstream: schemas.Upstream,
     generation: string,
@@ -74,9 +77,9 @@
       path: `/v1/generations/${generation}/events`,
       method: 'GET',
       headers: { 'last-event-id': `${generation}:${offset - 1}` },
-      // The former connection may be silently dead, and so may others of the pool.
+      // The previous connection may have been dropped silently, and so may others of the pool.
       reset: true,
-      isFresh: true,
+      isNewConnection: true,
     });
     if (res.statusCode === 200) {
       return res.body;
@@ -86,13 +89,13 @@
     throw new upstreamErrors.UpstreamError(kind, 'resume', upstream.upstreamId);
   }
 
-  /** Cancels a generation; an engine that never began it promises never to. */
+  /** Cancels a generation; an engine that never started it guarantees not to start it later. */
   public async cancel(upstream: schemas.Upstream, generation: string): Promise<CancelAnswer> {
     const res = await this.request('cancel', upstream, {
       path: `/v1/generations/${generation}`,
       method: 'DELETE',
       signal: AbortSignal.timeout(this.timings.answerMs),
-      isFresh: true,
+      isNewConnection: true,
     });
     return (await res.body.json()) as CancelAnswer;
   }
@@ -107,7 +110,7 @@
     return res.body.json();
   }
 
-  /** Sends an order and gives the status. */
+  /** Sends an order and returns the status of the response. */
   public async order(
     upstream: schemas.Upstream,
     order: schemas.Order,
@@ -124,7 +127,7 @@
     return res.statusCode;
   }
 
-  /** Ends every connection. */
+  /** Closes all connections. */
   public async close(): Promise<void> {
     await this.agent.destroy();
   }
@@ -133,14 +136,14 @@
     step: string,
     upstream: schemas.Upstream,
     {
-      isFresh,
+      isNewConnection,
       ...options
-    }: Omit<undici.Dispatcher.RequestOptions, 'origin'> & { isFresh?: boolean },
+    }: Omit<undici.Dispatcher.RequestOptions, 'origin'> & { isNewConnection?: boolean },
   ): Promise<undici.Dispatcher.ResponseData> {
-    const client = isFresh ? this.createFresh(upstream) : this.agent;
+    const client = isNewConnection ? this.createSingleUseClient(upstream) : this.agent;
     try {
       const { origin } = new URL(upstream.url);
-      // A limit on the answer only: a signal with a time would go on to cut the stream behind it.
+      // Limits the time until the response headers only; an abort signal with a time-out would also end the stream.
       const limits = { headersTimeout: this.timings.answerMs };
       return await client.request({
         ...limits,
@@ -151,13 +154,13 @@
       throw upstreamErrors.createUpstreamError(err, step, upstream.upstreamId);
     } finally {
       if (client instanceof undici.Client) {
-        // It ends by itself when the answer has been read.
+        // The connection closes once the response has been read.
         void client.close();
       }
     }
   }
 
-  private createFresh(upstream: schemas.Upstream): undici.Client {
+  private createSingleUseClient(upstream: schemas.Upstream): undici.Client {
     return new undici.Client(new URL(upstream.url).origin, {
       connect: { timeout: this.timings.connectMs },
       bodyTimeout: 0,
--- a/packages/requests/src/generation-event-splitter.ts
+++ b/packages/requests/src/generation-event-splitter.ts
@@ -4,24 +4,24 @@
 const LINE_FEED = 0x0a;
 const ZERO = 0x30;
 
-/** The largest event that is waited for, in bytes; a longer one means that the stream is damaged. */
+/** The largest partial event that is buffered, in bytes; a longer one means that the stream is corrupt. */
 const MAX_EVENT_BYTES = 1_048_576;
 
-/** What some bytes of an upstream's stream brought. */
+/** The events that a chunk of an upstream's stream completed. */
 export interface SplitEvents {
-  /** Whole events in order, without repeats, as they came. */
+  /** Complete events in order, without repeats, byte for byte as received. */
   readonly bytes: Buffer[];
-  /** How many events with an offset these are. */
+  /** The number of events with a new offset. */
   readonly count: number;
   readonly isDone: boolean;
-  /** Whether an offset was skipped: what follows must not be passed on. */
+  /** Whether an offset was skipped, or the stream is corrupt: what follows must not be relayed. */
   readonly hasGap: boolean;
   readonly hasError: boolean;
 }
 
 /**
- * Cuts the byte stream of an upstream into events and lets each offset pass once and in order. It works on
- * bytes: a chunk may end inside a line or inside a character, and decoding there would damage the text.
+ * Splits the byte stream of an upstream into events and returns each offset once and in order. It works on bytes: a
+ * chunk may end inside a line or a character, and decoding it there would corrupt the text.
  */
 export class GenerationEventSplitter {
   private pending: Buffer = Buffer.alloc(0);
@@ -29,27 +29,27 @@
 
   public constructor(
     generation: string,
-    private next: number,
+    private nextOffset: number,
   ) {
     this.prefix = Buffer.from(`id: ${generation}:`);
   }
 
-  /** The offset that is expected next. */
+  /** Returns the next expected offset. */
   public getNextOffset(): number {
-    return this.next;
+    return this.nextOffset;
   }
 
-  /** Forgets a partial event, because a new connection begins. */
+  /** Discards a partial event, because a new connection starts. */
   public restart(): void {
     this.pending = Buffer.alloc(0);
   }
 
-  /** Adds bytes; stops at the end of the stream, at an error and at a gap. */
+  /** Adds bytes and returns the completed events; stops at the end of the stream, at an error and at a gap. */
   public push(chunk: Buffer): SplitEvents {
     const all = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     const bytes: Buffer[] = [];
-    const first = this.next;
-    let runStart = 0;
+    const first = this.nextOffset;
+    let sliceStart = 0;
     let at = 0;
     let stop: 'done' | 'gap' | 'error' | undefined;
     while (stop === undefined) {
@@ -58,31 +58,31 @@
         break;
       }
       const offset = this.readOffset(all, at, end);
-      if (offset !== this.next) {
-        // What is passed on stays one slice as long as nothing in between is left out.
-        pushSlice(bytes, all, runStart, at);
-        runStart = end + EVENT_END.length;
-        stop = this.judge(all, at, offset);
+      if (offset !== this.nextOffset) {
+        // The output stays one slice as long as no event in between is skipped.
+        pushSlice(bytes, all, sliceStart, at);
+        sliceStart = end + EVENT_END.length;
+        stop = this.classifyUnexpected(all, at, offset);
       } else {
-        this.next += 1;
+        this.nextOffset += 1;
       }
       at = end + EVENT_END.length;
     }
-    pushSlice(bytes, all, runStart, at);
+    pushSlice(bytes, all, sliceStart, at);
     this.pending = all.subarray(at);
-    const isDamaged = this.pending.length > MAX_EVENT_BYTES;
+    const isCorrupt = this.pending.length > MAX_EVENT_BYTES;
     return {
       bytes,
-      count: this.next - first,
+      count: this.nextOffset - first,
       isDone: stop === 'done',
-      hasGap: stop === 'gap' || isDamaged,
+      hasGap: stop === 'gap' || isCorrupt,
       hasError: stop === 'error',
     };
   }
 
-  private judge(all: Buffer, at: number, offset: number | undefined) {
+  private classifyUnexpected(all: Buffer, at: number, offset: number | undefined) {
     if (offset !== undefined) {
-      return offset > this.next ? 'gap' : undefined;
+      return offset > this.nextOffset ? 'gap' : undefined;
     }
     if (isAt(all, at, DONE)) {
       return 'done';
--- a/packages/requests/src/generation-id-codec.ts
+++ b/packages/requests/src/generation-id-codec.ts
@@ -1,9 +1,9 @@
 import * as crypto from 'node:crypto';
 
-/** The bytes of the authentication code in an identifier. */
+/** The length of the message authentication code in an identifier, in bytes. */
 const MAC_BYTES = 9;
 
-/** What a generation's identifier says. */
+/** The parts of a generation's identifier. */
 export interface GenerationId {
   readonly availabilityZone: string;
   readonly daemonId: string;
@@ -13,13 +13,14 @@
 }
 
 /**
- * Identifiers that tell where a generation runs, so that any daemon can continue it without asking the one
- * that began it. The code at the end binds them to the team: guessing one gives no answer of another's.
+ * Encodes and decodes identifiers that contain the location of a generation, so that any daemon can resume it without
+ * asking the one that started it. The authentication code at the end binds an identifier to its team, so that a
+ * guessed one gives no access to another team's output.
  */
 export class GenerationIdCodec {
   public constructor(private readonly getKeys: () => readonly Buffer[]) {}
 
-  /** Makes an identifier. */
+  /** Encodes an identifier for a team. */
   public encode(id: GenerationId, team: string): string {
     const text = [id.availabilityZone, id.daemonId, id.incarnation, id.counter, id.upstreamId].join(
       '.',
@@ -27,7 +28,7 @@
     return `${text}.${getMac(this.getKeys()[0]!, text, team)}`;
   }
 
-  /** Reads an identifier of a team; nothing when it is not one of this team's. */
+  /** Decodes an identifier; returns `undefined` when it is not one of this team's. */
   public decode(generation: string, team: string): GenerationId | undefined {
     const parts = generation.split('.');
     const mac = parts.at(-1);
@@ -35,9 +36,9 @@
       return undefined;
     }
     const text = parts.slice(0, -1).join('.');
-    const isOurs = this.getKeys().some((key) => isSame(getMac(key, text, team), mac));
+    const isAuthentic = this.getKeys().some((key) => areEqual(getMac(key, text, team), mac));
     const [availabilityZone, daemonId, incarnation, counter, upstreamId] = parts;
-    return isOurs
+    return isAuthentic
       ? ({ availabilityZone, daemonId, incarnation, counter, upstreamId } as GenerationId)
       : undefined;
   }
@@ -48,6 +49,6 @@
   return mac.subarray(0, MAC_BYTES).toString('base64url');
 }
 
-function isSame(a: string, b: string): boolean {
+function areEqual(a: string, b: string): boolean {
   return a.length === b.length && crypto.timingSafeEqual(Buffer.from(a), Buffer.from(b));
 }
--- a/packages/requests/src/http-io.ts
+++ b/packages/requests/src/http-io.ts
@@ -2,16 +2,16 @@
 
 import * as schemas from '@bramleyridge/schemas';
 
-/** A request with the parameters of its route. */
+/** An HTTP request with the parameters of its route. */
 export type ApiRequest = http.IncomingMessage & { readonly params: Record<string, string> };
 
-/** What a body may take: its bytes, and the time for all of them. */
+/** The limits on a request body: its size in bytes, and the time to receive it in milliseconds. */
 export interface BodyLimits {
   readonly bodyBytes: number;
   readonly bodyTimeoutMs: number;
 }
 
-/** Reads a body whole, within its limits of size and time. */
+/** Reads a complete request body within the limits of size and time. */
 export function readBody(req: http.IncomingMessage, limits: BodyLimits): Promise<Buffer> {
   return new Promise((resolve, reject) => {
     const parts: Buffer[] = [];
@@ -24,7 +24,8 @@
         new schemas.Refusal({ id, step: 'read-body', status, outcome: 'not-run', args: [arg] }),
       );
     };
-    // A client that sends a byte a second would hold its memory and its place for ever.
+    // Without it a client that sends a byte per second would hold memory and its place among the running requests
+    // forever.
     const timer = setTimeout(
       () => refuse('bodyTooSlow', limits.bodyTimeoutMs),
       limits.bodyTimeoutMs,
@@ -49,7 +50,7 @@
   });
 }
 
-/** Parses a JSON body by a schema; a fault is a refusal that names it. */
+/** Parses a JSON body and validates it by a schema; throws a refusal that lists the faults. */
 export function parseJson<T>(
   schema: { safeParse(input: unknown): ParseResult<T> },
   body: Buffer,
@@ -73,7 +74,7 @@
   readonly error?: unknown;
 }
 
-/** Sends a JSON answer. */
+/** Sends a JSON response. */
 export function sendJson(
   res: http.ServerResponse,
   status: number,
@@ -90,8 +91,9 @@
 }
 
 /**
- * Sends a refusal; one that came before the body was read also ends the connection, unless the rest of the body
- * may be read and thrown away. Ending it with bytes unread resets it, and the caller may never see the refusal.
+ * Sends a refusal. If the request body has not been read to its end, also closes the connection, unless the rest of
+ * the body may be read and discarded (`mayReadRest`). Closing a connection with unread bytes resets it, and the
+ * caller may not receive the refusal.
  */
 export function sendRefusal(
   req: http.IncomingMessage,
@@ -108,14 +110,14 @@
     headers.location = location;
   }
   if (!req.complete && !mayReadRest) {
-    // What is left of the body must not be taken for the next request, nor taken in at all.
+    // The rest of the body must neither be parsed as the next request nor be received.
     headers.connection = 'close';
     res.once('finish', () => req.socket.destroySoon());
   }
   sendJson(res, status, refusal.toJson(), headers);
 }
 
-/** Turns whatever was thrown into a refusal. */
+/** Converts any thrown value to a refusal. */
 export function toRefusal(err: unknown): schemas.Refusal {
   if (err instanceof schemas.Refusal) {
     return err;
--- a/packages/requests/src/index.ts
+++ b/packages/requests/src/index.ts
@@ -1,4 +1,4 @@
-/** The life of a request: claims, relay, resume, shutdown. */
+/** The handling of a request: claims, attempts and retries, relay, resumption, and draining at shutdown. */
 export * from './answer-body.js';
 export * from './run-attempts.js';
 export * from './call-digest.js';
--- a/packages/requests/src/process-exit-detector.ts
+++ b/packages/requests/src/process-exit-detector.ts
@@ -4,74 +4,78 @@
 
 import type * as upstreamClients from './upstream-client.js';
 
-/** How long a connection may take to be accepted or refused, in milliseconds. */
-const CONNECT_MS = 200;
+/** The time limit for a connection to be accepted or refused, in milliseconds. */
+const CONNECT_TIMEOUT_MS = 200;
 
-/** For how long what was found out counts for the other calls that broke off there, in milliseconds. */
-const REMEMBER_MS = 500;
+/** How long a result is reused for other calls that broke off at the same upstream, in milliseconds. */
+const RESULT_TTL_MS = 500;
 
 /**
- * The pauses before a process that still listened is asked again, in milliseconds. One that is ending resets what it served
- * before its address is free, and a connection that was made in between waits in its queue.
+ * The pauses before each further check of a process that still listens, in milliseconds. An exiting process resets its
+ * connections before it stops listening, and a connection made in between is accepted into its backlog.
  */
-const AGAIN_MS = [5, 20, 120] as const;
+const RECHECK_DELAYS_MS = [5, 20, 120] as const;
 
-interface Check {
-  readonly at: number;
-  readonly hasEnded: Promise<boolean>;
+interface ExitCheck {
+  readonly startedAt: number;
+  readonly hasExited: Promise<boolean>;
 }
 
 /**
- * Tells whether the process of an upstream has ended. A connection that closes shows nothing by itself: answers are also
- * lost to resets, cuts and bad answers of a process that lives on. Where it has ended, nobody listens at its address.
+ * Detects whether the process of an upstream has exited. A closed connection is no proof: responses are also lost
+ * through resets, network partitions and invalid responses of a process that keeps running. After an exit its address
+ * refuses connections.
  */
 export class ProcessExitDetector {
-  private readonly checks = new Map<string, Check>();
+  private readonly checks = new Map<string, ExitCheck>();
 
   public constructor(
     private readonly clock: schemas.Clock,
     private readonly isListening: (url: string) => Promise<boolean> = connect,
   ) {}
 
-  /** Asks once for all calls that broke off there at one time. */
+  /** Returns whether the process has exited; one check serves all calls that broke off there at the same time. */
   public hasExited({ upstreamId, url }: upstreamClients.UpstreamTarget): Promise<boolean> {
     const now = this.clock.now();
-    this.forgetBefore(now - REMEMBER_MS);
+    this.evictBefore(now - RESULT_TTL_MS);
     const known = this.checks.get(upstreamId);
     if (known !== undefined) {
-      return known.hasEnded;
+      return known.hasExited;
     }
-    const hasEnded = this.ask(url);
-    this.checks.set(upstreamId, { at: now, hasEnded });
-    return hasEnded;
+    const hasExited = this.check(url);
+    this.checks.set(upstreamId, { startedAt: now, hasExited });
+    return hasExited;
   }
 
-  private async ask(url: string): Promise<boolean> {
-    const askedAt = this.clock.now();
-    let listens = await this.isListening(url);
-    const isSilent = this.clock.now() - askedAt >= CONNECT_MS;
-    for (const pauseMs of isSilent ? [] : AGAIN_MS) {
-      if (!listens) {
+  private async check(url: string): Promise<boolean> {
+    const startedAt = this.clock.now();
+    let stillListens = await this.isListening(url);
+    const hasTimedOut = this.clock.now() - startedAt >= CONNECT_TIMEOUT_MS;
+    for (const pauseMs of hasTimedOut ? [] : RECHECK_DELAYS_MS) {
+      if (!stillListens) {
         return true;
       }
       await this.clock.sleep(pauseMs);
-      listens = await this.isListening(url);
+      stillListens = await this.isListening(url);
     }
-    return !listens;
+    return !stillListens;
   }
 
-  private forgetBefore(since: number): void {
+  private evictBefore(since: number): void {
     [...this.checks]
-      .filter(([, { at }]) => at < since)
+      .filter(([, { startedAt }]) => startedAt < since)
       .forEach(([upstreamId]) => this.checks.delete(upstreamId));
   }
 }
 
-/** Whether anybody listens; an address that doesn't answer at all may be behind a cut, and counts as one that does. */
+/**
+ * Returns whether a process listens at the address. An address that does not respond may be behind a network
+ * partition, and counts as listening.
+ */
 function connect(url: string): Promise<boolean> {
   const { hostname, port } = new URL(url);
   return new Promise((resolve) => {
-    const socket = net.connect({ host: hostname, port: Number(port), timeout: CONNECT_MS });
+    const socket = net.connect({ host: hostname, port: Number(port), timeout: CONNECT_TIMEOUT_MS });
     const settle = (isListening: boolean) => {
       socket.destroy();
       resolve(isListening);
--- a/packages/requests/src/relay-generation.ts
+++ b/packages/requests/src/relay-generation.ts
@@ -4,59 +4,64 @@
 
 import * as chunkReaders from './chunk-reader.js';
 import type * as engineClients from './engine-client.js';
-import * as splitters from './generation-event-splitter.js';
+import * as generationEventSplitters from './generation-event-splitter.js';
 import * as upstreamErrors from './upstream-error.js';
 
-/** How often a lost connection is made anew before the engine is given up. */
-const MAX_RESUMES_IN_A_ROW = 6;
+/** A connection error after this many consecutive failures without a new event ends the generation as incomplete. */
+const MAX_CONSECUTIVE_FAILURES = 6;
 
-/** The pause before a connection is made anew, doubled each time, in milliseconds. */
-const FIRST_PAUSE_MS = 50;
+/** The pause before the first reconnection, in milliseconds; doubled with each consecutive failure. */
+const INITIAL_BACKOFF_MS = 50;
 
-/** How a relayed stream ended. */
+/** The result of a relayed stream. */
 export interface RelayEnd {
   readonly outcome: schemas.Outcome;
-  /** Events delivered in all, from the first offset of the generation on. */
+  /** The offset after the last delivered event, counted from the start of the generation. */
   readonly next: number;
   readonly err?: upstreamErrors.UpstreamError;
 }
 
-/** What the relay needs. */
+/** The dependencies and parameters of a relay. */
 export interface RelayOptions {
   readonly engines: engineClients.EngineClient;
   readonly upstream: schemas.Upstream;
   readonly generation: string;
+  /** The offset of the first event to deliver. */
   readonly from: number;
+  /** The longest time between two chunks before the connection is replaced, in milliseconds. */
   readonly silenceMs: number;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
-  /** Told how many events have passed, for the account of room. */
+  /** Called with the next offset when new events have arrived, for capacity accounting. */
   readonly onProgress: (next: number) => void;
 }
 
 /**
- * Passes one generation on: every event once, in order. A connection that ends early, falls silent or skips
- * an offset is replaced, and the same generation goes on at the next offset. Nothing of another generation
- * is ever put behind what was delivered; if this one is gone, the end says so and how far it came.
+ * Relays one generation: every event once, in order. A connection that ends early, stalls or skips an offset is
+ * replaced, and the same generation is resumed at the next offset. Events of another generation are never appended;
+ * if the engine no longer has this one, the result is `incomplete` with the offset that was reached.
  */
 export async function* relayGeneration(
   options: RelayOptions,
   started: stream.Readable | undefined,
 ): AsyncGenerator<Buffer, RelayEnd> {
-  const splitter = new splitters.GenerationEventSplitter(options.generation, options.from);
+  const splitter = new generationEventSplitters.GenerationEventSplitter(
+    options.generation,
+    options.from,
+  );
   let body = started;
   let failures = 0;
   for (;;) {
-    const before = splitter.getNextOffset();
+    const previousOffset = splitter.getNextOffset();
     try {
       body ??= await resume(options, splitter);
-      const end = yield* passOn(options, splitter, body);
+      const end = yield* relayConnection(options, splitter, body);
       if (end !== undefined) {
         return end;
       }
     } catch (err) {
       const failure = upstreamErrors.createUpstreamError(err, 'relay', options.upstream.upstreamId);
-      const isOver = failure.kind === 'gone' || failures >= MAX_RESUMES_IN_A_ROW;
+      const isOver = failure.kind === 'gone' || failures >= MAX_CONSECUTIVE_FAILURES;
       if (isOver) {
         return { outcome: 'incomplete', next: splitter.getNextOffset(), err: failure };
       }
@@ -70,27 +75,27 @@
     }
     body?.destroy();
     body = undefined;
-    failures = splitter.getNextOffset() > before ? 1 : failures + 1;
-    await options.clock.sleep(FIRST_PAUSE_MS * 2 ** (failures - 1));
+    failures = splitter.getNextOffset() > previousOffset ? 1 : failures + 1;
+    await options.clock.sleep(INITIAL_BACKOFF_MS * 2 ** (failures - 1));
   }
 }
 
 function resume(
   options: RelayOptions,
-  splitter: splitters.GenerationEventSplitter,
+  splitter: generationEventSplitters.GenerationEventSplitter,
 ): Promise<stream.Readable> {
   splitter.restart();
   const { engines, generation, upstream } = options;
   return engines.resume(upstream, generation, splitter.getNextOffset());
 }
 
-async function* passOn(
+async function* relayConnection(
   options: RelayOptions,
-  splitter: splitters.GenerationEventSplitter,
+  splitter: generationEventSplitters.GenerationEventSplitter,
   body: stream.Readable,
 ): AsyncGenerator<Buffer, RelayEnd | undefined> {
-  // The connection may be forgotten by something in between while new ones work. Engines send a comment
-  // at least every second, so silence beyond the limit means that this connection is dead.
+  // A middlebox may drop the connection silently while new ones work. Engines send a comment at least every second,
+  // so a longer silence than the limit means that this connection is dead.
   const watchdog = setTimeout(
     () =>
       body.destroy(
--- a/packages/requests/src/request-lifecycle.ts
+++ b/packages/requests/src/request-lifecycle.ts
@@ -11,16 +11,16 @@
   | 'not-run'
   | 'unknown';
 
-/** What happens to a request. */
+/** The events that change the state of a request. */
 export type RequestEvent =
   'grant' | 'dispatch' | 'stream' | 'retry' | 'complete' | 'break' | 'refuse' | 'doubt';
 
-const MOVES: schemas.Moves<RequestState, RequestEvent> = {
+const TRANSITIONS: schemas.Moves<RequestState, RequestEvent> = {
   received: { grant: 'granted', refuse: 'not-run' },
   granted: { dispatch: 'dispatched', refuse: 'not-run', retry: 'received' },
-  // Only an upstream's own word, or a failure to connect, leads back from here.
+  // Returns to an earlier state only if the upstream reported that the call did not run, or could not be reached.
   dispatched: { stream: 'streaming', retry: 'received', refuse: 'not-run', doubt: 'unknown' },
-  // Once a token may have been delivered there is no way to a second generation.
+  // A token may have been delivered, so no second generation may be started.
   streaming: { complete: 'complete', break: 'incomplete' },
   complete: {},
   incomplete: {},
@@ -28,7 +28,7 @@
   unknown: {},
 };
 
-/** The life of one request. */
+/** Creates the state machine of one request. */
 export function createRequestLifecycle(): schemas.Lifecycle<RequestState, RequestEvent> {
-  return new schemas.Lifecycle(MOVES, 'received');
+  return new schemas.Lifecycle(TRANSITIONS, 'received');
 }
--- a/packages/requests/src/reset-monitor.ts
+++ b/packages/requests/src/reset-monitor.ts
@@ -4,33 +4,33 @@
 export class ResetMonitor {
   private readonly counts = new Map<string, number>();
 
-  /** A connector whose connections are watched from their first byte on. */
+  /** Creates a connector whose connections are monitored from their first byte on. */
   public createConnector(connectMs: number): undici.buildConnector.connector {
     const connect = undici.buildConnector({ timeout: connectMs });
     return (options, callback) => {
       connect(options, (...result) => {
         const [, socket] = result;
-        const note = (err: NodeJS.ErrnoException | null | undefined) => {
-          // The HTTP library also ends connections with errors of its own, in good order.
+        const onError = (err: NodeJS.ErrnoException | null | undefined) => {
+          // The HTTP library reports errors of its own, without a `syscall`, when it closes connections normally.
           if (err?.syscall !== undefined) {
-            this.note(options.host ?? options.hostname);
+            this.countError(options.host ?? options.hostname);
           }
         };
-        socket?.once('error', note);
-        // Bytes and a reset that are found in one look at the socket are reported as a plain end. Writing
-        // nothing tells them apart: it fails on a connection that was reset and does nothing on any other.
-        socket?.once('end', () => socket.write('', note));
+        socket?.once('error', onError);
+        // A reset that arrives together with data is reported as a plain end. An empty write tells the two apart:
+        // it fails on a connection that was reset and has no effect on any other.
+        socket?.once('end', () => socket.write('', onError));
         callback(...result);
       });
     };
   }
 
-  /** How many connections to an address have ended with an error so far. */
+  /** Returns how many connections to an address have ended with an error so far. */
   public count(url: string): number {
     return this.counts.get(new URL(url).host) ?? 0;
   }
 
-  private note(host: string): void {
+  private countError(host: string): void {
     this.counts.set(host, (this.counts.get(host) ?? 0) + 1);
   }
 }
--- a/packages/requests/src/retry-budget.ts
+++ b/packages/requests/src/retry-budget.ts
@@ -1,66 +1,66 @@
 import type * as schemas from '@bramleyridge/schemas';
 
-/** How many retries there may be. */
+/** The parameters of a retry budget. */
 export interface RetryAllowance {
-  /** Retries that are allowed for each request, so that failures don't multiply load. */
+  /** Retries that each request adds; a ratio below 1 keeps failures from multiplying the load. */
   readonly perRequest: number;
-  /** How many retries can be saved up. */
+  /** The most retries that accumulate. */
   readonly maxSaved: number;
-  /** How fast retries come back without requests, per second. */
+  /** Retries added per second, independent of requests. */
   readonly perSecond: number;
 }
 
-/** The allowance of a daemon that no deployment has set another for. */
+/** The allowance that applies unless the deployment sets another. */
 export const DEFAULT_ALLOWANCE: RetryAllowance = { perRequest: 0.1, maxSaved: 20, perSecond: 0.5 };
 
-/** Where a flow takes its retries from. */
+/** A source of retries. */
 export interface RetrySource {
-  /** Counts a first try. */
+  /** Counts the first attempt of a request. */
   noteRequest(): void;
-  /** Takes one retry, or refuses it. */
+  /** Takes one retry; false when none is available. */
   take(): boolean | Promise<boolean>;
 }
 
-/** A source that also lends retries, to whoever can plan them. */
+/** A source that also grants retries from a shared pool, for retries that are planned ahead. */
 export interface GrantingRetrySource extends RetrySource {
-  /** Takes one retry, from what is lent first. */
+  /** Takes one retry, first from the shared pool; false when none is available. */
   takeGranted(): Promise<boolean>;
 }
 
-/** A bucket that every request fills a little and every retry empties by one. */
+/** A token bucket: each request and each second add a fraction of a token, each retry takes one. */
 export class RetryBudget implements RetrySource {
-  private saved: number;
-  private at: number;
+  private tokens: number;
+  private refilledAt: number;
 
   public constructor(
     private readonly clock: schemas.Clock,
     private allowance: RetryAllowance = DEFAULT_ALLOWANCE,
   ) {
-    this.saved = allowance.maxSaved;
-    this.at = clock.now();
+    this.tokens = allowance.maxSaved;
+    this.refilledAt = clock.now();
   }
 
-  /** Sets another allowance; what was saved beyond it is lost. */
+  /** Sets another allowance; tokens beyond its maximum are dropped. */
   public setAllowance(allowance: RetryAllowance): void {
     this.allowance = allowance;
-    this.saved = Math.min(this.saved, allowance.maxSaved);
+    this.tokens = Math.min(this.tokens, allowance.maxSaved);
   }
 
-  /** Counts a first try. */
+  /** Counts the first attempt of a request. */
   public noteRequest(): void {
-    this.saved = Math.min(this.allowance.maxSaved, this.saved + this.allowance.perRequest);
+    this.tokens = Math.min(this.allowance.maxSaved, this.tokens + this.allowance.perRequest);
   }
 
-  /** Takes one retry, or refuses it. */
+  /** Takes one retry; false when less than one token is left. */
   public take(): boolean {
     const { maxSaved, perSecond } = this.allowance;
     const now = this.clock.now();
-    this.saved = Math.min(maxSaved, this.saved + ((now - this.at) / 1_000) * perSecond);
-    this.at = now;
-    if (this.saved < 1) {
+    this.tokens = Math.min(maxSaved, this.tokens + ((now - this.refilledAt) / 1_000) * perSecond);
+    this.refilledAt = now;
+    if (this.tokens < 1) {
       return false;
     }
-    this.saved -= 1;
+    this.tokens -= 1;
     return true;
   }
 }
--- a/packages/requests/src/retry-grant-limiter.ts
+++ b/packages/requests/src/retry-grant-limiter.ts
@@ -1,44 +1,46 @@
-/** How many retries the hosts may borrow, over a sliding window. */
+/** The limits on retries that the leader grants to hosts, over a sliding window. */
 export interface RetryGrantLimits {
+  /** The most grants in one window. */
   readonly maxGrants: number;
-  /** The same while what a former lender lent may still be in the window. */
+  /** The most grants while those of a previous leader may still be in the window. */
   readonly maxGrantsForNewLeader: number;
   readonly windowMs: number;
 }
 
-/** Who lends: the term in which a host leads, and since when. */
+/** The leadership under which a retry is granted: its term, and its start on the clock that is passed in. */
 export interface RetryGrantor {
   readonly term: number;
   readonly since: number;
 }
 
 /**
- * Retries that hosts borrow when their own share is used up. Retries are needed in bursts, at the one or two hosts
- * whose callers were on an engine that is lost; an equal share for each of eight hosts allowed them four in ten seconds
- * while the deployment's 70 were hardly touched. One lender knows how many are out, so the sum stays exact.
+ * Grants retries to hosts that have used up their own share. Retries are needed in bursts, at the one or two hosts
+ * whose callers were on an engine that is lost: an equal share for each of eight hosts allowed these four in ten
+ * seconds, while most of the deployment's 70 stayed unused. The leader counts all grants, so the limit holds for the
+ * whole deployment.
  */
 export class RetryGrantLimiter {
-  private lentAt: number[] = [];
+  private grantedAt: number[] = [];
   private term: number | undefined;
 
   public constructor(private readonly bounds: RetryGrantLimits) {}
 
   /**
-   * Lends one retry, or refuses. A leader that has just risen does not know what the one before it lent, so it lends
-   * little until that is out of the window.
+   * Grants one retry, or refuses it. A new leader has no record of the grants of its predecessor, so the lower limit
+   * applies until these are outside the window.
    */
-  public grant(lender: RetryGrantor, now: number): boolean {
-    const { maxGrants: most, maxGrantsForNewLeader: mostAtFirst, windowMs } = this.bounds;
-    if (lender.term !== this.term) {
-      this.term = lender.term;
-      this.lentAt = [];
+  public grant(grantor: RetryGrantor, now: number): boolean {
+    const { maxGrants, maxGrantsForNewLeader, windowMs } = this.bounds;
+    if (grantor.term !== this.term) {
+      this.term = grantor.term;
+      this.grantedAt = [];
     }
-    this.lentAt = this.lentAt.filter((at) => now - at < windowMs);
-    const isFirst = now - lender.since < windowMs;
-    if (this.lentAt.length >= (isFirst ? mostAtFirst : most)) {
+    this.grantedAt = this.grantedAt.filter((at) => now - at < windowMs);
+    const isNewLeader = now - grantor.since < windowMs;
+    if (this.grantedAt.length >= (isNewLeader ? maxGrantsForNewLeader : maxGrants)) {
       return false;
     }
-    this.lentAt.push(now);
+    this.grantedAt.push(now);
     return true;
   }
 }
--- a/packages/requests/src/run-attempts.ts
+++ b/packages/requests/src/run-attempts.ts
@@ -3,101 +3,110 @@
 import type * as retryBudgets from './retry-budget.js';
 import * as upstreamErrors from './upstream-error.js';
 
-/** To how many upstreams one call is handed at most, counting those that refused it. */
+/** The most sends per call, including those that an upstream refused; bounds the load that one failing call adds. */
 const MAX_SENDS = 4;
 
-/** What a refused caller is told to wait when upstreams failed, in seconds. */
+/** The `retry-after` of a call that is refused because upstreams failed, in seconds. */
 const RETRY_AFTER_S = 1;
 
-/** What may be done again for one call. */
+/** The limits on the attempts of one call. */
 export interface AttemptRules {
   /** Whether the call may run more than once. */
   readonly isRepeatable: boolean;
-  /** On how many upstreams it may run. */
+  /** The most attempts that may have run the call. */
   readonly maxRuns: number;
   readonly budget: retryBudgets.RetrySource;
-  /** Aborted when nobody waits for the answer any more. */
+  /** Aborted when the response is no longer needed. */
   readonly signal?: AbortSignal;
 }
 
-/** How one kind of call is tried. */
+/** The operations that an attempt consists of, which differ by the kind of call. */
 export interface AttemptOperations<U extends { readonly upstreamId: string }, A> {
-  /** The upstream of the next attempt, or a refusal when there is none. */
+  /** Returns the upstream of the next attempt; throws a refusal when there is none. */
   choose(): U | Promise<U>;
-  /** One attempt; nothing when it found out, before it sent anything, that it has to choose anew. */
+  /** Makes one attempt; returns `undefined` when nothing was sent and another upstream must be chosen. */
   attempt(upstream: U): Promise<A | undefined>;
-  /** Whether an answer is the upstream's own failure, which another upstream may not have. */
+  /** Returns whether a response reports a failure of the upstream itself, so that another upstream may succeed. */
   isFailure(answer: A): boolean;
+  /** Called for each attempt that ended in an error. */
   noteFailure(upstream: U, failure: upstreamErrors.UpstreamError): void;
 }
 
-/** The attempts of one call, and what is known of them. */
-class CallAttempts<U extends { readonly upstreamId: string }, A> {
+/** The attempts of one call and their results. */
+class AttemptLoop<U extends { readonly upstreamId: string }, A> {
   private sends = 0;
   private runs = 0;
-  private failed: A | undefined;
+  private failedAnswer: A | undefined;
 
   public constructor(
     private readonly rules: AttemptRules,
-    private readonly port: AttemptOperations<U, A>,
+    private readonly operations: AttemptOperations<U, A>,
   ) {}
 
-  /** Tries until there is an answer, or nothing more may be tried. */
+  /** Makes attempts until there is a final response or no further attempt is allowed. */
   public async run(): Promise<A> {
     for (;;) {
       const upstream = await this.choose();
       if (upstream === undefined) {
-        return this.failed as A;
+        return this.failedAnswer as A;
       }
       try {
-        const answer = await this.port.attempt(upstream);
-        if (answer !== undefined && (await this.settles(answer))) {
+        const answer = await this.operations.attempt(upstream);
+        if (answer !== undefined && (await this.isFinal(answer))) {
           return answer;
         }
       } catch (err) {
-        await this.settleFailure(upstream, err);
+        await this.handleFailure(upstream, err);
       }
       this.rules.signal?.throwIfAborted();
     }
   }
 
-  /** The next upstream; nothing when there is none but an upstream's own failure can be passed on. */
+  /**
+   * Returns the next upstream, or `undefined` when there is none and the failure response of an upstream can be
+   * returned.
+   */
   private async choose(): Promise<U | undefined> {
     try {
-      return await this.port.choose();
+      return await this.operations.choose();
     } catch (err) {
-      if (this.failed !== undefined) {
+      if (this.failedAnswer !== undefined) {
         return undefined;
       }
-      // A refusal for want of an upstream says that the call did not run. Here an earlier attempt may have.
+      // The refusal for lack of an upstream states that the call did not run, but an earlier attempt may have run it.
       throw this.runs > 0 ? createRefusal('ranUnknown', 'unknown', err) : err;
     }
   }
 
-  private async settles(answer: A): Promise<boolean> {
+  private async isFinal(answer: A): Promise<boolean> {
     this.sends += 1;
     this.runs += 1;
-    if (!this.port.isFailure(answer) || !this.mayRunAgain() || !(await this.rules.budget.take())) {
+    if (
+      !this.operations.isFailure(answer) ||
+      !this.mayRunAgain() ||
+      !(await this.rules.budget.take())
+    ) {
       return true;
     }
-    this.failed = answer;
+    this.failedAnswer = answer;
     return false;
   }
 
-  private async settleFailure(upstream: U, err: unknown): Promise<void> {
+  private async handleFailure(upstream: U, err: unknown): Promise<void> {
     if (err instanceof schemas.StepError && !(err instanceof upstreamErrors.UpstreamError)) {
       throw err;
     }
-    // An attempt that was ended from this side says nothing of the upstream.
+    // An attempt that was aborted on this side is not a failure of the upstream.
     this.rules.signal?.throwIfAborted();
     const failure = upstreamErrors.createUpstreamError(err, 'attempt', upstream.upstreamId);
-    this.port.noteFailure(upstream, failure);
+    this.operations.noteFailure(upstream, failure);
     this.sends += 1;
     this.runs += failure.kind === 'lost' ? 1 : 0;
-    const mayGoOn = failure.kind === 'lost' ? this.mayRunAgain() : this.sends < MAX_SENDS;
-    // Where nobody listened nothing arrived, so only what reached an upstream draws on the budget.
-    const isPaid = failure.kind === 'unreachable' || (mayGoOn && (await this.rules.budget.take()));
-    if (mayGoOn && isPaid) {
+    const mayRetry = failure.kind === 'lost' ? this.mayRunAgain() : this.sends < MAX_SENDS;
+    // Nothing arrived at an address without a listener, so only what reached an upstream takes from the retry budget.
+    const isBudgeted =
+      failure.kind === 'unreachable' || (mayRetry && (await this.rules.budget.take()));
+    if (mayRetry && isBudgeted) {
       return;
     }
     throw this.runs > 0
@@ -112,14 +121,14 @@
 }
 
 /**
- * Tries one call at one upstream after another. What did not run may be tried elsewhere; what may have run
- * only where it may be repeated, and both inside the retry budget.
+ * Sends one call to one upstream after another. A call that did not run may be retried on another upstream; one that
+ * may have run is retried only if it is repeatable. Retries that reached an upstream take from the retry budget.
  */
 export function runAttempts<U extends { readonly upstreamId: string }, A>(
   rules: AttemptRules,
-  port: AttemptOperations<U, A>,
+  operations: AttemptOperations<U, A>,
 ): Promise<A> {
-  return new CallAttempts(rules, port).run();
+  return new AttemptLoop(rules, operations).run();
 }
 
 function createRefusal(
--- a/packages/requests/src/service-client.ts
+++ b/packages/requests/src/service-client.ts
@@ -3,7 +3,7 @@
 import * as answerBodies from './answer-body.js';
 import type * as callRegistries from './call-registry.js';
 import * as engineClients from './engine-client.js';
-import * as hopHeaders from './end-to-end-headers.js';
+import * as endToEndHeaders from './end-to-end-headers.js';
 import * as upstreamClients from './upstream-client.js';
 import * as upstreamErrors from './upstream-error.js';
 
@@ -16,14 +16,14 @@
   readonly isRepeatable: boolean;
 }
 
-/** The deadlines and limits of calls to plain services. */
+/** The time limits, in milliseconds, and the size limit, in bytes, of calls to plain services. */
 export interface ServiceLimits {
   readonly connectMs: number;
   readonly answerMs: number;
   readonly answerBytes: number;
 }
 
-/** Sends calls to plain services and reads their answers whole. */
+/** Sends calls to plain services and reads their complete responses. */
 export class ServiceClient {
   private readonly client: upstreamClients.UpstreamClient;
 
@@ -31,7 +31,7 @@
     this.client = new upstreamClients.UpstreamClient(limits);
   }
 
-  /** Sends a call once and reads the whole answer. */
+  /** Sends a call once and reads the complete response. */
   public async send(
     upstream: schemas.Upstream,
     call: ServiceCall,
@@ -39,8 +39,8 @@
     const { upstreamId, url } = upstream;
     const target = { upstreamId, url: new URL(url).origin };
     const signal = AbortSignal.timeout(this.limits.answerMs);
-    const headers = pickForService(call.headers);
-    const answer = await this.client.open(target, { ...call, headers, signal }, judgeHead);
+    const headers = pickServiceHeaders(call.headers);
+    const answer = await this.client.open(target, { ...call, headers, signal }, classifyHead);
     const read = await answerBodies.readAnswer(answer, this.limits.answerBytes, upstreamId);
     if (!read.isWhole) {
       answer.body.destroy();
@@ -48,27 +48,29 @@
     }
     return {
       status: answer.status,
-      headers: toStrings(hopHeaders.pickEndToEndHeaders(answer.headers)),
+      headers: toStringValues(endToEndHeaders.pickEndToEndHeaders(answer.headers)),
       body: read.bytes,
     };
   }
 
-  /** Ends every connection. */
+  /** Closes all connections. */
   public async close(): Promise<void> {
     await this.client.close();
   }
 }
 
-function judgeHead(head: upstreamClients.AnswerHead): upstreamClients.HeadVerdict {
+function classifyHead(head: upstreamClients.AnswerHead): upstreamClients.HeadVerdict {
   return head.headers[engineClients.NOT_RUN_HEADER] === undefined ? 'answer' : 'not-run';
 }
 
-/** A service learns neither the team's secret nor the name by which callers found this daemon. */
-function pickForService(headers: Readonly<Record<string, string>>): Record<string, string> {
-  const { host, authorization, ...others } = toStrings(hopHeaders.pickEndToEndHeaders(headers));
+/** Removes the team's credentials, and the host name by which callers reach this daemon. */
+function pickServiceHeaders(headers: Readonly<Record<string, string>>): Record<string, string> {
+  const { host, authorization, ...others } = toStringValues(
+    endToEndHeaders.pickEndToEndHeaders(headers),
+  );
   return others;
 }
 
-function toStrings(headers: Record<string, string | string[]>): Record<string, string> {
+function toStringValues(headers: Record<string, string | string[]>): Record<string, string> {
   return Object.fromEntries(Object.entries(headers).map(([name, value]) => [name, String(value)]));
 }
--- a/packages/requests/src/sse-event-splitter.ts
+++ b/packages/requests/src/sse-event-splitter.ts
@@ -1,30 +1,30 @@
 const EVENT_END = Buffer.from('\n\n');
 
-/** The line of an event that names it. */
+/** The line with the identifier of an event. */
 const ID_LINE = /^id: ?(.*)$/m;
 
 /**
- * Cuts a stream of events at their ends, so that another connection can go on where this one broke off: what the
- * caller has is always a whole number of events, and the last one's identifier says how far that is.
+ * Splits a stream of server-sent events so that another connection can continue where one broke off: the caller
+ * receives only complete events, and the identifier of the last one marks the position.
  */
 export class SseEventSplitter {
   private pending: Buffer = Buffer.alloc(0);
   private lastId: string | undefined;
 
-  /** The identifier of the last event that was passed on. */
+  /** Returns the identifier of the last event that was returned by `push`. */
   public getLastId(): string | undefined {
     return this.lastId;
   }
 
-  /** Forgets a partial event, because another connection begins with the whole of it. */
+  /** Discards a partial event, because a new connection starts with the complete one. */
   public restart(): void {
     this.pending = Buffer.alloc(0);
   }
 
-  /** Adds bytes and gives the events that are now whole, without those that were passed on before. */
+  /** Adds bytes and returns the events that are now complete, without those that were returned before. */
   public push(chunk: Buffer): Buffer {
     const all = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
-    const whole: Buffer[] = [];
+    const complete: Buffer[] = [];
     let at = 0;
     for (;;) {
       const end = all.indexOf(EVENT_END, at);
@@ -33,15 +33,15 @@
       }
       const next = end + EVENT_END.length;
       if (this.isNew(all.subarray(at, end))) {
-        whole.push(all.subarray(at, next));
+        complete.push(all.subarray(at, next));
       }
       at = next;
     }
     this.pending = all.subarray(at);
-    return whole.length === 1 ? whole[0]! : Buffer.concat(whole);
+    return complete.length === 1 ? complete[0]! : Buffer.concat(complete);
   }
 
-  /** Identifiers only grow; one that does not is an event that the caller has already. */
+  /** Identifiers increase, so an event with one that does not was delivered before. Events without one always pass. */
   private isNew(event: Buffer): boolean {
     const id = ID_LINE.exec(event.toString('latin1'))?.[1];
     if (id === undefined) {
--- a/packages/requests/src/upstream-client.ts
+++ b/packages/requests/src/upstream-client.ts
@@ -3,66 +3,67 @@
 
 import * as undici from 'undici';
 
-import * as resetWatches from './reset-monitor.js';
+import * as resetMonitors from './reset-monitor.js';
 import * as upstreamErrors from './upstream-error.js';
 
-/** How long an idle connection to an upstream is kept, in milliseconds; upstreams say when it is less. */
+/** How long an idle connection to an upstream is kept, in milliseconds; an upstream may announce a shorter time. */
 const KEEP_ALIVE_MS = 4_000;
 
-/** Where a call is sent. */
+/** The upstream to which a call is sent. */
 export interface UpstreamTarget {
   readonly upstreamId: string;
   /** Scheme, address and port. */
   readonly url: string;
 }
 
-/** A call as it goes out. */
+/** A call as it is sent to an upstream. */
 export interface OutgoingCall {
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
   readonly isRepeatable: boolean;
-  /** Ends the attempt: the caller left, or its time is over. */
+  /** Aborts the attempt, when the caller has disconnected or the deadline has passed. */
   readonly signal: AbortSignal;
 }
 
-/** The head of an upstream's answer. */
+/** The status and headers of an upstream's response. */
 export interface AnswerHead {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
 }
 
-/** An upstream's answer while its body is still coming. */
+/** An upstream's response whose body is still being received. */
 export interface UpstreamAnswer extends AnswerHead {
   readonly body: stream.Readable;
-  /** Whether a connection to its upstream was reset since the call went out. */
+  /** Returns whether a connection to the upstream's address was reset since the call was sent. */
   readonly wasReset: () => boolean;
 }
 
 /**
- * What the head of an answer says: an answer to this call, the upstream's word that the call did not run, that
- * another process now has the address, or bytes that belong to something else.
+ * The meaning of a response's head: a response to this call (`answer`), a report that the call did not run
+ * (`not-run`) or that another process has the address now (`moved`), or bytes that belong to another call
+ * (`foreign`).
  */
 export type HeadVerdict = 'answer' | 'not-run' | 'moved' | 'foreign';
 
-/** What is known of a call by a head that is no answer to it. */
-const FAILURES = { 'not-run': 'refused', moved: 'gone', foreign: 'lost' } as const;
+/** The kind of failure for each head that is no response to the call. */
+const FAILURE_KINDS = { 'not-run': 'refused', moved: 'gone', foreign: 'lost' } as const;
 
-/** Judges heads by the protocol that the upstreams of one side speak. */
+/** Classifies a head by the protocol of the kind of upstream that is called. */
 export type ClassifyHead = (head: AnswerHead) => HeadVerdict;
 
-/** The deadlines and limits towards upstreams. */
+/** The limits of connections to upstreams. */
 export interface UpstreamClientLimits {
   readonly connectMs: number;
-  /** Connections that are kept to one upstream. */
+  /** The most pooled connections to one upstream; unlimited by default. */
   readonly connections?: number;
 }
 
-/** Sends every call to upstreams: one attempt on one connection, and the judgement of its head. */
+/** Sends calls to upstreams: one attempt on one connection, whose response head is checked. */
 export class UpstreamClient {
   private readonly agent: undici.Agent;
-  private readonly resets = new resetWatches.ResetMonitor();
+  private readonly resets = new resetMonitors.ResetMonitor();
 
   public constructor(private readonly limits: UpstreamClientLimits) {
     this.agent = new undici.Agent({
@@ -71,45 +72,44 @@
       pipelining: 1,
       keepAliveTimeout: KEEP_ALIVE_MS,
       keepAliveMaxTimeout: KEEP_ALIVE_MS,
-      // Who sends a call knows how long it may take, and ends it by its signal.
+      // The sender of a call sets its time limit by the abort signal.
       bodyTimeout: 0,
       headersTimeout: 0,
     });
   }
 
   /**
-   * Sends a call once and gives its answer, whose body is still to be read. A call that may not be repeated
-   * goes out on a connection made for it: a pooled one may be silently dead, and then nobody could tell
-   * whether the call arrived. On a new one a failure to connect is truly `unreachable`, and everything after
-   * it is `lost`.
+   * Sends a call once and returns its response, whose body is still to be read. A call that may not be repeated is
+   * sent on a new connection: a pooled one may have been dropped silently, and it would be unknown whether the call
+   * arrived. On a new connection a failure to connect is reliably `unreachable`, and every later failure is `lost`.
    */
   public async open(
     target: UpstreamTarget,
     call: OutgoingCall,
-    judge: ClassifyHead,
+    classify: ClassifyHead,
   ): Promise<UpstreamAnswer> {
-    const own = call.isRepeatable ? undefined : this.createOwn(target);
+    const singleUseClient = call.isRepeatable ? undefined : this.createSingleUseClient(target);
     try {
-      const answer = await this.request(own ?? this.agent, target, call);
-      this.checkHead(target, answer, judge);
-      if (own !== undefined) {
+      const answer = await this.request(singleUseClient ?? this.agent, target, call);
+      this.checkHead(target, answer, classify);
+      if (singleUseClient !== undefined) {
         answer.body.once('close', () => {
-          void own.destroy();
+          void singleUseClient.destroy();
         });
       }
       return answer;
     } catch (err) {
-      void own?.destroy();
+      void singleUseClient?.destroy();
       throw upstreamErrors.createUpstreamError(err, 'send', target.upstreamId);
     }
   }
 
-  /** Ends every connection. */
+  /** Closes all connections. */
   public async close(): Promise<void> {
     await this.agent.destroy();
   }
 
-  private createOwn(target: UpstreamTarget): undici.Client {
+  private createSingleUseClient(target: UpstreamTarget): undici.Client {
     return new undici.Client(target.url, {
       connect: this.resets.createConnector(this.limits.connectMs),
       bodyTimeout: 0,
@@ -132,20 +132,20 @@
       reset: !call.isRepeatable,
       signal: call.signal,
     });
-    // An error between two reads would otherwise end the process; the next read finds it.
+    // An error between two reads would otherwise be uncaught and end the process; the next read reports it.
     res.body.on('error', () => {});
     const wasReset = () => this.resets.count(target.url) !== resetsBefore;
     return { status: res.statusCode, headers: res.headers, body: res.body, wasReset };
   }
 
-  private checkHead(target: UpstreamTarget, answer: UpstreamAnswer, judge: ClassifyHead): void {
-    const verdict = judge(answer);
+  private checkHead(target: UpstreamTarget, answer: UpstreamAnswer, classify: ClassifyHead): void {
+    const verdict = classify(answer);
     if (verdict === 'answer') {
       return;
     }
-    // A late answer to an earlier call may stand where this one's is due; ending the connection is enough,
-    // since the next call then gets one on which nothing can be left over.
+    // A late response to an earlier call may have taken the place of this one. Closing the connection is enough: the
+    // next call gets another one, on which no such bytes can remain.
     answer.body.destroy();
-    throw new upstreamErrors.UpstreamError(FAILURES[verdict], verdict, target.upstreamId);
+    throw new upstreamErrors.UpstreamError(FAILURE_KINDS[verdict], verdict, target.upstreamId);
   }
 }
--- a/packages/requests/src/upstream-error.ts
+++ b/packages/requests/src/upstream-error.ts
@@ -1,9 +1,12 @@
 import * as schemas from '@bramleyridge/schemas';
 
-/** What is known of a call that failed: refused and unreachable ones did not run. */
+/**
+ * What is certain about a failed call: `unreachable` and `refused` calls did not run, `lost` ones may have run, and
+ * after `gone` the process or the generation that was addressed no longer exists.
+ */
 export type FailureKind = 'unreachable' | 'refused' | 'lost' | 'gone';
 
-/** The errors that arise before a byte is handed to the upstream. */
+/** The codes of errors that occur before any byte is sent to the upstream. */
 const CONNECT_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -14,15 +17,15 @@
   'UND_ERR_CLOSED',
 ]);
 
-/** What is said of each kind. */
-const MESSAGES = {
+/** The message for each kind of failure. */
+const MESSAGE_IDS = {
   unreachable: 'upstreamUnreachable',
   refused: 'upstreamRefused',
   lost: 'ranUnknown',
   gone: 'upstreamUnreachable',
 } as const;
 
-/** A call to an upstream failed. */
+/** The failure of a call to an upstream. */
 export class UpstreamError extends schemas.StepError {
   public constructor(
     public readonly kind: FailureKind,
@@ -31,20 +34,22 @@
     cause?: unknown,
   ) {
     super({
-      id: MESSAGES[kind],
+      id: MESSAGE_IDS[kind],
       step,
       peer,
       cause,
     });
   }
 
-  /** Whether nobody listens at the upstream's address any more, so that it died with all it ran. */
+  /**
+   * Returns whether the address refused the connection: the upstream's process has ended, and with it all its runs.
+   */
   public isConnectionRefused(): boolean {
     return getCode(this.cause()) === 'ECONNREFUSED';
   }
 }
 
-/** Tells whether an error arose before or after a byte was handed over. */
+/** Wraps an error as `unreachable` if it occurred before any byte was sent, and as `lost` otherwise. */
 export function createUpstreamError(err: unknown, step: string, peer: string): UpstreamError {
   if (err instanceof UpstreamError) {
     return err;
@@ -53,7 +58,10 @@
   return new UpstreamError(kind, step, peer, err);
 }
 
-/** A host may become unreachable while a call is under way; only a connection that was never made proves it. */
+/**
+ * Returns whether the connection was never established. A host may also become unreachable during a call, with the
+ * same error codes but from another system call than `connect`.
+ */
 function isConnectFailure(err: unknown): boolean {
   const { syscall } = (err ?? {}) as { syscall?: string };
   return CONNECT_CODES.has(getCode(err)) && (syscall === undefined || syscall === 'connect');
