--- a/packages/requests/tests/generation-event-splitter.test.ts
+++ b/packages/requests/tests/generation-event-splitter.test.ts
@@ -6,7 +6,7 @@
   return `id: g:${offset}\ndata: {"text":"Lüderitz 🎙 ${offset}"}\n\n`;
 }
 
-function passAll(splitter: requests.GenerationEventSplitter, chunks: readonly Buffer[]) {
+function pushAll(splitter: requests.GenerationEventSplitter, chunks: readonly Buffer[]) {
   const passed: Buffer[] = [];
   let isDone = false;
   for (const chunk of chunks) {
@@ -20,8 +20,8 @@
   return { text: Buffer.concat(passed).toString('utf8'), isDone };
 }
 
-void tap.default.test('events pass whole and once however the bytes are cut', async (t) => {
-  // Chunks end inside a character, a line or an event; events are doubled; comments come in between.
+void tap.default.test('events are returned complete and once, wherever chunks end', async (t) => {
+  // Chunks end inside a character, a line or an event; events are repeated, with comments between them.
   const whole = Array.from({ length: 12 }, (_, i) => createEvent(i)).join('');
   const sent = `${Array.from({ length: 12 }, (_, i) => {
     const event = createEvent(i);
@@ -37,41 +37,44 @@
         chunks.push(bytes.subarray(at, at + size));
         at += size;
       }
-      const { text, isDone } = passAll(new requests.GenerationEventSplitter('g', 0), chunks);
+      const { text, isDone } = pushAll(new requests.GenerationEventSplitter('g', 0), chunks);
       return text === whole && isDone;
     },
   );
   t.doesNotThrow(() => fc.assert(property, { seed: 1, numRuns: 300 }));
 });
 
-void tap.default.test('what must not pass does not', async (t) => {
-  const cases = [
-    {
-      name: 'events behind a gap',
-      sent: createEvent(0) + createEvent(2) + createEvent(3),
-      passed: createEvent(0),
-      next: 1,
-      hasGap: true,
-    },
-    {
-      name: 'events of another generation',
-      sent: createEvent(0) + createEvent(1).replace('id: g:', 'id: h:'),
-      passed: createEvent(0),
-      next: 1,
-    },
-    {
-      name: 'events before the offset that is wanted',
-      sent: createEvent(0) + createEvent(1),
-      passed: '',
-      next: 5,
-      from: 5,
-    },
-  ];
-  cases.forEach(({ name, sent, passed, next, from, hasGap }) => {
-    const splitter = new requests.GenerationEventSplitter('g', from ?? 0);
-    t.equal(passAll(splitter, [Buffer.from(sent)]).text, passed, name);
-    t.equal(splitter.getNextOffset(), next, `${name}: the next offset`);
-    const fresh = new requests.GenerationEventSplitter('g', from ?? 0);
-    t.equal(fresh.push(Buffer.from(sent)).hasGap, hasGap ?? false, `${name}: told as a gap`);
-  });
-});
+void tap.default.test(
+  'events after a gap, of another generation or before the offset are dropped',
+  async (t) => {
+    const cases = [
+      {
+        name: 'events after a gap',
+        sent: createEvent(0) + createEvent(2) + createEvent(3),
+        passed: createEvent(0),
+        next: 1,
+        hasGap: true,
+      },
+      {
+        name: 'events of another generation',
+        sent: createEvent(0) + createEvent(1).replace('id: g:', 'id: h:'),
+        passed: createEvent(0),
+        next: 1,
+      },
+      {
+        name: 'events before the requested offset',
+        sent: createEvent(0) + createEvent(1),
+        passed: '',
+        next: 5,
+        from: 5,
+      },
+    ];
+    cases.forEach(({ name, sent, passed, next, from, hasGap }) => {
+      const splitter = new requests.GenerationEventSplitter('g', from ?? 0);
+      t.equal(pushAll(splitter, [Buffer.from(sent)]).text, passed, name);
+      t.equal(splitter.getNextOffset(), next, `${name}: the next offset`);
+      const fresh = new requests.GenerationEventSplitter('g', from ?? 0);
+      t.equal(fresh.push(Buffer.from(sent)).hasGap, hasGap ?? false, `${name}: reported as a gap`);
+    });
+  },
+);
--- a/packages/requests/tests/process-exit-detector.test.ts
+++ b/packages/requests/tests/process-exit-detector.test.ts
@@ -4,10 +4,10 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as tap from 'tap';
 
-import * as endChecks from '../src/process-exit-detector.js';
+import * as processExitDetectors from '../src/process-exit-detector.js';
 
-// A connection that closes may have been reset while its process lives on. Taking that for an end would hold calls back
-// for nothing; nobody listening at the address shows that the process is gone.
+// A connection may be reset while its process keeps running. Treating that as an exit would hold calls back without
+// need; only an address that refuses connections proves that the process has exited.
 
 async function listen(): Promise<{ readonly server: http.Server; readonly url: string }> {
   const server = http.createServer();
@@ -17,44 +17,55 @@
   return { server, url: `http://127.0.0.1:${(server.address() as net.AddressInfo).port}` };
 }
 
-void tap.default.test('a process has ended when nobody listens at its address', async (t) => {
+void tap.default.test('a process has exited when its address refuses connections', async (t) => {
   const { server, url } = await listen();
   t.teardown(() => server.close());
-  const check = new endChecks.ProcessExitDetector(new schemas.SystemClock());
-  t.equal(await check.hasExited({ upstreamId: 'p1', url }), false, 'it listens');
+  const detector = new processExitDetectors.ProcessExitDetector(new schemas.SystemClock());
+  t.equal(
+    await detector.hasExited({ upstreamId: 'p1', url }),
+    false,
+    'the address accepts connections',
+  );
   server.close();
-  t.equal(await check.hasExited({ upstreamId: 'p2', url }), true, 'nobody does');
+  t.equal(
+    await detector.hasExited({ upstreamId: 'p2', url }),
+    true,
+    'the address refuses connections',
+  );
 });
 
-void tap.default.test('runs that break off together cost one question', async (t) => {
+void tap.default.test('runs that break off together cause one check', async (t) => {
   const clock = new schemas.VirtualClock();
-  let asked = 0;
-  const check = new endChecks.ProcessExitDetector(clock, async () => {
-    asked += 1;
+  let checks = 0;
+  const detector = new processExitDetectors.ProcessExitDetector(clock, async () => {
+    checks += 1;
     return Promise.resolve(false);
   });
   const target = { upstreamId: 'p1', url: 'http://127.0.0.1:1' };
-  const all = await Promise.all(Array.from({ length: 24 }, () => check.hasExited(target)));
-  t.same([asked, new Set(all).size, all[0]], [1, 1, true]);
-  await check.hasExited({ ...target, upstreamId: 'p2' });
-  t.equal(asked, 2, 'another process is asked anew');
+  const all = await Promise.all(Array.from({ length: 24 }, () => detector.hasExited(target)));
+  t.same([checks, new Set(all).size, all[0]], [1, 1, true]);
+  await detector.hasExited({ ...target, upstreamId: 'p2' });
+  t.equal(checks, 2, 'another process is checked separately');
   await clock.advance(1_000);
-  await check.hasExited(target);
-  t.equal(asked, 3, 'and the same one later');
+  await detector.hasExited(target);
+  t.equal(checks, 3, 'the same one is checked again later');
 });
 
-// Guards against an end that counts for nothing because the process still took a connection while it ended.
-void tap.default.test('a process that still listens while it ends has ended', async (t) => {
-  const clock = new schemas.VirtualClock();
-  const answers = [true, true, false];
-  const check = new endChecks.ProcessExitDetector(clock, async () =>
-    Promise.resolve(answers.shift() ?? true),
-  );
-  const target = { upstreamId: 'p1', url: 'http://127.0.0.1:1' };
-  const ended = check.hasExited(target);
-  await clock.advance(1_000);
-  t.equal(await ended, true);
-  const lives = check.hasExited({ ...target, upstreamId: 'p2' });
-  await clock.advance(1_000);
-  t.equal(await lives, false, 'one that goes on listening has not');
-});
+// Guards against missing an exit because the exiting process still accepted a connection.
+void tap.default.test(
+  'a process that still listens while it exits is detected as exited',
+  async (t) => {
+    const clock = new schemas.VirtualClock();
+    const answers = [true, true, false];
+    const detector = new processExitDetectors.ProcessExitDetector(clock, async () =>
+      Promise.resolve(answers.shift() ?? true),
+    );
+    const target = { upstreamId: 'p1', url: 'http://127.0.0.1:1' };
+    const exited = detector.hasExited(target);
+    await clock.advance(1_000);
+    t.equal(await exited, true);
+    const running = detector.hasExited({ ...target, upstreamId: 'p2' });
+    await clock.advance(1_000);
+    t.equal(await running, false, 'a process that keeps listening has not exited');
+  },
+);
--- a/packages/requests/tests/relay-generation.test.ts
+++ b/packages/requests/tests/relay-generation.test.ts
@@ -5,13 +5,13 @@
 
 const TOKENS = 60;
 
-interface Setting {
+interface Fixture {
   readonly engine: fakes.FakeEngine;
   readonly engines: requests.EngineClient;
   readonly upstream: schemas.Upstream;
 }
 
-async function setUp(t: { teardown(handler: () => unknown): void }, speed = 4): Promise<Setting> {
+async function setUp(t: { teardown(handler: () => unknown): void }, speed = 4): Promise<Fixture> {
   const engine = new fakes.FakeEngine({
     upstreamId: 'e1',
     models: [{ model: 'm', version: 'v1' }],
@@ -36,21 +36,21 @@
   return { engine, engines, upstream };
 }
 
-function start({ engines, upstream }: Setting, generation: string) {
+function start({ engines, upstream }: Fixture, generation: string) {
   const body = JSON.stringify({ model: 'm:v1', prompt: 'x', fake_output_tokens: TOKENS });
   return engines.start(upstream, '/v1/completions', generation, body);
 }
 
-/** Relays a generation, calling `act` after each chunk, and checks every token that comes. */
+/** Relays a generation, calling `act` after each chunk, and returns the text that was received. */
 async function relay(
-  setting: Setting,
+  fixture: Fixture,
   generation: string,
   act: (next: number) => void = () => {},
 ): Promise<{ end: requests.RelayEnd; text: string }> {
   let reached = 0;
   const events = requests.relayGeneration(
     {
-      ...setting,
+      ...fixture,
       generation,
       from: 0,
       silenceMs: 700,
@@ -60,7 +60,7 @@
         reached = next;
       },
     },
-    await start(setting, generation),
+    await start(fixture, generation),
   );
   const parts: Buffer[] = [];
   for (;;) {
@@ -80,7 +80,7 @@
 
 const faults: readonly {
   readonly name: string;
-  readonly inject: (setting: Setting, next: number) => void;
+  readonly inject: (fixture: Fixture, next: number) => void;
 }[] = [
   {
     name: 'the engine sends every event twice',
@@ -95,9 +95,9 @@
     },
   },
   {
-    // The engine's connection goes silent while new connections work; the relay suspects it and
-    // resumes the same generation at the next offset on another.
-    name: 'the connection goes silent after token 10',
+    // The engine's connection stalls while new connections work; the relay replaces it and resumes the same generation
+    // at the next offset.
+    name: 'the connection stalls after token 10',
     inject: ({ engine }, next) => {
       if (next >= 10 && engine.faults.silentBefore === 0) {
         engine.silence();
@@ -107,72 +107,75 @@
 ];
 
 void tap.default.test(
-  'the caller sees every token once, in order, from one generation',
+  'the caller receives every token once, in order, from one generation',
   async (t) => {
     for (const { name, inject } of faults) {
-      const setting = await setUp(t);
-      inject(setting, 0);
-      const { end, text } = await relay(setting, 'g1', (next) => inject(setting, next));
+      const fixture = await setUp(t);
+      inject(fixture, 0);
+      const { end, text } = await relay(fixture, 'g1', (next) => inject(fixture, next));
       t.equal(end.outcome, 'complete', name);
       t.equal(text, fakes.getText('g1', TOKENS), `${name}: the text`);
-      t.equal(setting.engine.record.size, 1, `${name}: one generation ran`);
+      t.equal(fixture.engine.record.size, 1, `${name}: one generation ran`);
     }
   },
 );
 
 void tap.default.test(
-  'an engine that dies mid-stream ends as incomplete with the count',
+  'a stream whose engine fails ends as incomplete with the offset',
   async (t) => {
-    // The caller sees what was generated, then is told that the rest is gone; nothing is spliced on.
-    const setting = await setUp(t);
-    const { end, text } = await relay(setting, 'g2', (next) => {
+    // The caller receives what was generated, and the outcome that the rest is lost; nothing of another run is
+    // appended.
+    const fixture = await setUp(t);
+    const { end, text } = await relay(fixture, 'g2', (next) => {
       if (next >= 10) {
-        setting.engine.kill();
+        fixture.engine.kill();
       }
     });
     t.equal(end.outcome, 'incomplete');
-    t.equal(text, fakes.getText('g2', end.next), 'what came is a prefix of the generation');
-    t.ok(end.next < TOKENS, 'it did not come to its end');
+    t.equal(text, fakes.getText('g2', end.next), 'the received text is a prefix of the generation');
+    t.ok(end.next < TOKENS, 'the generation did not finish');
   },
 );
 
-void tap.default.test('a generation that the engine lost is not begun again', async (t) => {
-  const setting = await setUp(t);
-  const { end } = await relay(setting, 'g3', (next) => {
-    if (next >= 5 && setting.engine.record.size > 0) {
-      setting.engine.model.cancel('g3');
-      setting.engine.record.get('g3')?.end('cancelled');
-      setting.engine.record.delete('g3');
+void tap.default.test('a generation that the engine lost is not started again', async (t) => {
+  const fixture = await setUp(t);
+  const { end } = await relay(fixture, 'g3', (next) => {
+    if (next >= 5 && fixture.engine.record.size > 0) {
+      fixture.engine.model.cancel('g3');
+      fixture.engine.record.get('g3')?.end('cancelled');
+      fixture.engine.record.delete('g3');
     }
   });
   t.equal(end.outcome, 'incomplete');
-  t.equal(setting.engine.record.size, 0, 'nothing else ran');
+  t.equal(fixture.engine.record.size, 0, 'nothing else ran');
 });
 
 void tap.default.test(
-  'a cancelled generation never runs, also when its start arrives late',
+  'a cancelled generation never runs, even if its start arrives late',
   async (t) => {
-    // The start was lost on its way; the engine promises never to run it; the start arrives after all.
-    const setting = await setUp(t);
-    const { state } = await setting.engines.cancel(setting.upstream, 'late');
+    // The start is delayed in the network, and the engine guarantees on the cancellation never to run it. Then it
+    // arrives.
+    const fixture = await setUp(t);
+    const { state } = await fixture.engines.cancel(fixture.upstream, 'late');
     t.equal(state, 'unknown');
-    await t.rejects(start(setting, 'late'));
-    t.equal(setting.engine.record.size, 0);
+    await t.rejects(start(fixture, 'late'));
+    t.equal(fixture.engine.record.size, 0);
   },
 );
 
 void tap.default.test(
-  'a resumed stream lives on beyond the time allowed for its first answer',
+  'a resumed stream may last longer than the limit on its response headers',
   async (t) => {
-    // The limit on the answer once went on to cut the stream itself, every 700 ms here, every 5 s in use.
-    const setting = await setUp(t, 0.2);
-    const { end, text } = await relay(setting, 'g4', (next) => {
-      if (next >= 5 && setting.engine.faults.silentBefore === 0) {
-        setting.engine.silence();
+    // Guards against a time limit on the response headers that also ends the stream: it did so every 700 ms with the
+    // settings of this test, and every 5 s in operation.
+    const fixture = await setUp(t, 0.2);
+    const { end, text } = await relay(fixture, 'g4', (next) => {
+      if (next >= 5 && fixture.engine.faults.silentBefore === 0) {
+        fixture.engine.silence();
       }
     });
     t.equal(end.outcome, 'complete');
     t.equal(text, fakes.getText('g4', TOKENS));
-    t.equal(setting.engine.streams, 2, 'the first stream and one resumed');
+    t.equal(fixture.engine.streams, 2, 'the first stream and one resumed stream');
   },
 );
--- a/packages/requests/tests/service-client.test.ts
+++ b/packages/requests/tests/service-client.test.ts
@@ -28,7 +28,7 @@
   return client;
 }
 
-/** A server whose behaviour per request the test sets; it counts what it read. */
+/** Starts a server whose response the test defines; it counts connections and requests. */
 async function listen(
   t: { teardown(handler: () => unknown): void },
   answer: (socket: net.Socket, res: http.ServerResponse) => void,
@@ -55,17 +55,17 @@
 }
 
 void tap.default.test(
-  'what is told of a failed call is true at every point of failure',
+  'a failed call is classified correctly at every point of failure',
   async (t) => {
     const cases = [
       {
-        name: 'reset after the call was read',
+        name: 'closed after the call was read',
         answer: (socket: net.Socket) => socket.destroy(),
         kind: 'lost',
       },
-      { name: 'no answer at all', answer: () => {}, kind: 'lost' },
+      { name: 'no response', answer: () => {}, kind: 'lost' },
       {
-        name: 'reset in the middle of the answer',
+        name: 'closed in the middle of the response',
         answer: (socket: net.Socket, res: http.ServerResponse) => {
           res.writeHead(200, { 'content-length': '100' });
           res.write('{"half":');
@@ -74,7 +74,7 @@
         kind: 'lost',
       },
       {
-        name: 'refused as not run by the service itself',
+        name: 'reported as not run by the service',
         answer: (_socket: net.Socket, res: http.ServerResponse) => {
           res.writeHead(503, { 'x-not-run': '1' });
           res.end();
@@ -90,12 +90,12 @@
         { kind } as never,
         name,
       );
-      t.equal(counts.requests, 1, `${name}: it was sent once, and no library sent it again`);
+      t.equal(counts.requests, 1, `${name}: it was sent once, and not resent by a library`);
     }
   },
 );
 
-void tap.default.test('nobody listening is told as not run', async (t) => {
+void tap.default.test('a refused connection is classified as unreachable', async (t) => {
   const { port } = await listen(t, () => {});
   const client = createClient(t);
   const free = await new Promise<number>((resolve) => {
@@ -109,8 +109,8 @@
   await t.rejects(client.send(createUpstream(free), createCall(false)), kind as never);
 });
 
-void tap.default.test('a call not repeatable goes out on a connection of its own', async (t) => {
-  // A pooled connection may be silently dead, and then nobody can tell whether the call arrived.
+void tap.default.test('a non-repeatable call is sent on a new connection', async (t) => {
+  // A pooled connection may have been dropped silently, and then it is unknown whether the call arrived.
   const { port, counts } = await listen(t, (_socket, res) => res.end('{}'));
   const client = createClient(t);
   for (let i = 0; i < 3; i += 1) {
@@ -121,5 +121,5 @@
   for (let i = 0; i < 3; i += 1) {
     await client.send(createUpstream(port), createCall(false));
   }
-  t.equal(counts.connections, shared + 3, 'each other call made its own');
+  t.equal(counts.connections, shared + 3, 'each non-repeatable call opens a new one');
 });
--- a/packages/requests/tests/upstream-client.test.ts
+++ b/packages/requests/tests/upstream-client.test.ts
@@ -7,10 +7,10 @@
   teardown(handler: () => unknown): void;
 }
 
-/** What the upstream does with a connection on which the n-th call has come in whole. */
+/** Called with a connection on which the n-th call has been received completely. */
 type Answer = (socket: net.Socket, callNumber: number) => void;
 
-/** An upstream that writes the bytes that the test gives, so that it can break every rule of HTTP. */
+/** Starts an upstream that writes arbitrary bytes, so that a test can violate HTTP. */
 async function listen(t: Teardown, answer: Answer): Promise<requests.UpstreamTarget> {
   let calls = 0;
   const sockets = new Set<net.Socket>();
@@ -52,8 +52,8 @@
   };
 }
 
-/** Answers belong to a call when they bring its identifier back. */
-function judgeFor(requestId: string): requests.ClassifyHead {
+/** Classifies a response as that of a call if it returns the call's identifier. */
+function createClassifier(requestId: string): requests.ClassifyHead {
   return ({ headers }) => (headers['x-id'] === requestId ? 'answer' : 'foreign');
 }
 
@@ -64,29 +64,29 @@
   requestId = 'r1',
 ): Promise<string> {
   const call = createCall(isRepeatable, requestId);
-  const answer = await client.open(target, call, judgeFor(requestId));
+  const answer = await client.open(target, call, createClassifier(requestId));
   const read = await requests.readAnswer(answer, 10_000, target.upstreamId);
   return read.bytes.toString();
 }
 
 const HEAD = 'HTTP/1.1 200 OK\r\nx-id: r1\r\n';
 
-void tap.default.test('an answer counts only when it came whole', async (t) => {
-  // The caller gets what the upstream sent, or is told that the answer was lost; half an answer never looks
-  // whole. An answer without a length ends with its connection, so only how that ends tells them apart: a
-  // library that takes a reset for an end hands out the half that came.
+void tap.default.test('a response counts only if it is complete', async (t) => {
+  // The caller gets the complete response or the failure `lost`; a truncated response must not look complete. A
+  // response without a length ends with its connection, so only the kind of that end tells the two apart: a library
+  // that treats a reset as an end returns a truncated response.
   const cases: { name: string; answer: Answer; body?: string }[] = [
     {
-      name: 'with a length, whole',
+      name: 'with a length, complete',
       answer: (socket) => socket.write(`${HEAD}content-length: 4\r\n\r\nbody`),
       body: 'body',
     },
     {
-      name: 'with a length, cut',
+      name: 'with a length, truncated',
       answer: (socket) => socket.end(`${HEAD}content-length: 9\r\n\r\nbody`),
     },
     {
-      name: 'in chunks, cut before the last one',
+      name: 'chunked, truncated before the last chunk',
       answer: (socket) => socket.end(`${HEAD}transfer-encoding: chunked\r\n\r\n4\r\nbody\r\n`),
     },
     {
@@ -103,8 +103,8 @@
       },
     },
     {
-      // The bytes and the reset are found in one look at the socket, which then reports a plain end.
-      name: 'without a length, reset right behind the bytes',
+      // The bytes and the reset arrive in one read of the socket, which then reports a plain end.
+      name: 'without a length, reset directly after the bytes',
       answer: (socket) => {
         socket.write(`${HEAD}connection: close\r\n\r\nbo`);
         socket.resetAndDestroy();
@@ -116,7 +116,7 @@
       body: 'body',
     },
     {
-      name: 'no HTTP at all',
+      name: 'not HTTP',
       answer: (socket) => socket.write('\x00\x01garbage\r\n\r\n'),
     },
   ];
@@ -124,7 +124,7 @@
     for (const { name, answer, body } of cases) {
       const target = await listen(t, answer);
       const got = get(createClient(t), target, isRepeatable);
-      const label = `${name}, ${isRepeatable ? 'on a kept connection' : 'on its own connection'}`;
+      const label = `${name}, ${isRepeatable ? 'on a pooled connection' : 'on a new connection'}`;
       if (body === undefined) {
         await t.rejects(got, { kind: 'lost' } as never, label);
       } else {
@@ -134,65 +134,65 @@
   }
 });
 
+void tap.default.test('a late second response is never returned for the next call', async (t) => {
+  // The upstream responds to the first call twice, the second time when the next call arrives on the same
+  // connection. Without the identifier in the response the next caller would get the response to another call.
+  const target = await listen(t, (socket, n) => {
+    socket.write(`${HEAD}content-length: 5\r\n\r\nfirst`);
+    if (n === 2) {
+      socket.write('HTTP/1.1 200 OK\r\nx-id: r2\r\ncontent-length: 6\r\n\r\nsecond');
+    }
+  });
+  const client = createClient(t);
+  t.equal(await get(client, target, true, 'r1'), 'first');
+  await t.rejects(get(client, target, true, 'r2'), { kind: 'lost' } as never);
+});
+
 void tap.default.test(
-  'a late second answer is never taken for the answer to the next call',
+  'an early response to a long body leaves no bytes on the connection',
   async (t) => {
-    // The upstream answers the first call twice, the second time just as the next call arrives on the same
-    // connection. Without the identifier in the answer the next caller would get a stranger's answer.
-    const target = await listen(t, (socket, n) => {
-      socket.write(`${HEAD}content-length: 5\r\n\r\nfirst`);
-      if (n === 2) {
-        socket.write('HTTP/1.1 200 OK\r\nx-id: r2\r\ncontent-length: 6\r\n\r\nsecond');
-      }
+    // The upstream responds before it has read the body, keeps the connection open and continues to read. It must
+    // receive the rest of that body and nothing else, or it would run a call that was never sent.
+    const received: Buffer[] = [];
+    const server = net.createServer((socket) => {
+      socket.on('error', () => {});
+      socket.once('data', () => socket.write(`${HEAD}content-length: 4\r\n\r\nearl`));
+      socket.on('data', (bytes: Buffer) => received.push(bytes));
+    });
+    await new Promise<void>((resolve) => {
+      server.listen(0, '127.0.0.1', resolve);
     });
+    const { port } = server.address() as net.AddressInfo;
+    t.teardown(() => server.close());
     const client = createClient(t);
-    t.equal(await get(client, target, true, 'r1'), 'first');
-    await t.rejects(get(client, target, true, 'r2'), { kind: 'lost' } as never);
+    const body = Buffer.alloc(300_000, 'b');
+    const target = { upstreamId: 'u1', url: `http://127.0.0.1:${port}` };
+    const call = { ...createCall(true), method: 'POST', body };
+    const answer = await client.open(target, call, createClassifier('r1'));
+    t.equal((await requests.readAnswer(answer, 10_000, 'u1')).bytes.toString(), 'earl');
+    await client.close();
+    await new Promise((resolve) => {
+      setTimeout(resolve, 100);
+    });
+    const all = Buffer.concat(received).toString();
+    const [, sent = ''] = all.split('\r\n\r\n');
+    t.ok(/^b*$/.test(sent), 'only the body, or a part of it, follows the head');
   },
 );
 
-void tap.default.test('an early answer to a long body leaves no bytes behind', async (t) => {
-  // The upstream refuses before it has read the body, keeps the connection and reads on. It must find the rest
-  // of that body there and nothing else, or it would run a call that nobody sent.
-  const received: Buffer[] = [];
-  const server = net.createServer((socket) => {
-    socket.on('error', () => {});
-    socket.once('data', () => socket.write(`${HEAD}content-length: 4\r\n\r\nearl`));
-    socket.on('data', (bytes: Buffer) => received.push(bytes));
-  });
-  await new Promise<void>((resolve) => {
-    server.listen(0, '127.0.0.1', resolve);
-  });
-  const { port } = server.address() as net.AddressInfo;
-  t.teardown(() => server.close());
-  const client = createClient(t);
-  const body = Buffer.alloc(300_000, 'b');
-  const target = { upstreamId: 'u1', url: `http://127.0.0.1:${port}` };
-  const call = { ...createCall(true), method: 'POST', body };
-  const answer = await client.open(target, call, judgeFor('r1'));
-  t.equal((await requests.readAnswer(answer, 10_000, 'u1')).bytes.toString(), 'earl');
-  await client.close();
-  await new Promise((resolve) => {
-    setTimeout(resolve, 100);
-  });
-  const all = Buffer.concat(received).toString();
-  const [, sent = ''] = all.split('\r\n\r\n');
-  t.ok(/^b*$/.test(sent), 'what follows the head is the body, or the part of it that was read');
-});
-
-void tap.default.test('a stream that ends inside an event is broken', async (t) => {
-  // An upstream that dies in the middle of a stream without a length closes the connection as one that is done
-  // does. The last event without its empty line gives it away.
+void tap.default.test('a stream that ends inside an event is truncated', async (t) => {
+  // An upstream that exits during a stream without a length closes the connection in the same way as at the end. Only
+  // the missing empty line after the last event shows it.
   const cases = [
-    { name: 'whole', text: 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n', isWhole: true },
+    { name: 'complete', text: 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n', isWhole: true },
     { name: 'inside an event', text: 'id: 1\ndata: a\n\nid: 2\nda', isWhole: false },
-    { name: 'nothing at all', text: '', isWhole: false },
+    { name: 'empty', text: '', isWhole: false },
   ];
   for (const { name, text, isWhole } of cases) {
     const target = await listen(t, (socket) =>
       socket.end(`${HEAD}connection: close\r\n\r\n${text}`),
     );
-    const answer = await createClient(t).open(target, createCall(false), judgeFor('r1'));
+    const answer = await createClient(t).open(target, createCall(false), createClassifier('r1'));
     const read = (async () => {
       let all = '';
       for await (const part of requests.relayAnswer(answer, true, 'u1')) {
