--- a/packages/requests/src/engine-client.ts
+++ b/packages/requests/src/engine-client.ts
@@ -79,7 +79,7 @@
       headers: { 'last-event-id': `${generation}:${offset - 1}` },
       // The previous connection may have been dropped silently, and so may others of the pool.
       reset: true,
-      isNewConnection: true,
+      isFresh: true,
     });
     if (res.statusCode === 200) {
       return res.body;
@@ -95,7 +95,7 @@
       path: `/v1/generations/${generation}`,
       method: 'DELETE',
       signal: AbortSignal.timeout(this.timings.answerMs),
-      isNewConnection: true,
+      isFresh: true,
     });
     return (await res.body.json()) as CancelAnswer;
   }
@@ -136,11 +136,11 @@
     step: string,
     upstream: schemas.Upstream,
     {
-      isNewConnection,
+      isFresh,
       ...options
-    }: Omit<undici.Dispatcher.RequestOptions, 'origin'> & { isNewConnection?: boolean },
+    }: Omit<undici.Dispatcher.RequestOptions, 'origin'> & { isFresh?: boolean },
   ): Promise<undici.Dispatcher.ResponseData> {
-    const client = isNewConnection ? this.createSingleUseClient(upstream) : this.agent;
+    const client = isFresh ? this.createSingleUseClient(upstream) : this.agent;
     try {
       const { origin } = new URL(upstream.url);
       // Limits the time until the response headers only; an abort signal with a time-out would also end the stream.
