--- a/packages/requests/src/claim-acceptor.ts
+++ b/packages/requests/src/claim-acceptor.ts
@@ -83,12 +83,12 @@
 
   /** Handles a prepare or accept request. */
   public handleClaim(req: types.ClaimReq): types.ClaimRes {
-    const known = this.records.get(req.key);
-    const promised = known?.promised ?? NO_BALLOT;
+    const stored = this.records.get(req.key);
+    const promised = stored?.promised ?? NO_BALLOT;
     const isRefused = !this.complete || types.isHigher(promised, req.ballot);
     if (!isRefused) {
       const accepted =
-        req.value === undefined ? known?.accepted : { ballot: req.ballot, value: req.value };
+        req.value === undefined ? stored?.accepted : { ballot: req.ballot, value: req.value };
       this.store({ key: req.key, promised: req.ballot, accepted, at: this.options.clock.now() });
     }
     return {
@@ -96,7 +96,7 @@
       seat: this.slot,
       marks: this.epochs,
       promised: isRefused ? promised : req.ballot,
-      accepted: known?.accepted,
+      accepted: stored?.accepted,
     };
   }
 
@@ -190,14 +190,14 @@
   }
 
   private merge(record: types.ClaimRecord): void {
-    const known = this.records.get(record.key);
+    const stored = this.records.get(record.key);
     const at = this.options.clock.now() + record.at;
     const promised =
-      known !== undefined && types.isHigher(known.promised, record.promised)
-        ? known.promised
+      stored !== undefined && types.isHigher(stored.promised, record.promised)
+        ? stored.promised
         : record.promised;
-    const accepted = pickHigher(known?.accepted, record.accepted);
-    this.store({ key: record.key, promised, accepted, at: Math.max(at, known?.at ?? -Infinity) });
+    const accepted = pickHigher(stored?.accepted, record.accepted);
+    this.store({ key: record.key, promised, accepted, at: Math.max(at, stored?.at ?? -Infinity) });
   }
 }
 
--- a/packages/requests/src/end-to-end-headers.ts
+++ b/packages/requests/src/end-to-end-headers.ts
@@ -1,7 +1,7 @@
 import type * as http from 'node:http';
 
 /** Hop-by-hop headers, which apply to one connection and are not forwarded. */
-const HOP_HEADERS = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -25,7 +25,7 @@
   );
   const kept: Record<string, string | string[]> = {};
   Object.entries(headers).forEach(([name, value]) => {
-    if (value !== undefined && !HOP_HEADERS.has(name) && !named.has(name)) {
+    if (value !== undefined && !HOP_BY_HOP_HEADERS.has(name) && !named.has(name)) {
       kept[name] = value;
     }
   });
--- a/packages/requests/src/process-exit-detector.ts
+++ b/packages/requests/src/process-exit-detector.ts
@@ -38,9 +38,9 @@
   public hasExited({ upstreamId, url }: upstreamClients.UpstreamTarget): Promise<boolean> {
     const now = this.clock.now();
     this.evictBefore(now - RESULT_TTL_MS);
-    const known = this.checks.get(upstreamId);
-    if (known !== undefined) {
-      return known.hasExited;
+    const current = this.checks.get(upstreamId);
+    if (current !== undefined) {
+      return current.hasExited;
     }
     const hasExited = this.check(url);
     this.checks.set(upstreamId, { startedAt: now, hasExited });
