--- a/packages/requests/src/end-to-end-headers.ts
+++ b/packages/requests/src/end-to-end-headers.ts
@@ -1,7 +1,7 @@
 import type * as http from 'node:http';
 
-/** Headers that belong to one connection and are not passed on. */
-const HOP_HEADERS = new Set([
+/** Hop-by-hop headers, which apply to one connection and are not forwarded. */
+const HOP_BY_HOP_HEADERS = new Set([
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -13,7 +13,7 @@
   'expect',
 ]);
 
-/** The headers that are passed on: all but those of one connection, and those that it names itself. */
+/** Returns the headers to forward: all but hop-by-hop headers and those that the `connection` header names. */
 export function pickEndToEndHeaders(
   headers: http.IncomingHttpHeaders,
 ): Record<string, string | string[]> {
@@ -25,7 +25,7 @@
   );
   const kept: Record<string, string | string[]> = {};
   Object.entries(headers).forEach(([name, value]) => {
-    if (value !== undefined && !HOP_HEADERS.has(name) && !named.has(name)) {
+    if (value !== undefined && !HOP_BY_HOP_HEADERS.has(name) && !named.has(name)) {
       kept[name] = value;
     }
   });
