--- a/packages/intents/src/check-declaration.ts
+++ b/packages/intents/src/check-declaration.ts
@@ -1,29 +1,29 @@
 import type * as schemas from '@bramleyridge/schemas';
 
-/** What is known of the deployment when a declaration is checked. */
+/** The deployment against which a declaration is checked. */
 export interface DeploymentFacts {
   readonly availabilityZones: readonly string[];
   readonly upstreams: readonly schemas.Upstream[];
-  /** Tokens of memory of the smallest engine, by availability zone. */
+  /** Memory of the smallest engine in tokens, by availability zone. */
   readonly engineTokens: ReadonlyMap<string, number>;
 }
 
-interface Check {
+interface CheckInput {
   readonly declaration: schemas.Declaration;
-  readonly facts: DeploymentFacts;
+  readonly deployment: DeploymentFacts;
 }
 
-/** The faults that a declaration shows by itself, without knowing the deployment. */
+/** Lists the errors of a declaration that can be found without the deployment. */
 export function checkReferences(declaration: schemas.Declaration): string[] {
   return [...checkNames(declaration), ...checkTeams(declaration)];
 }
 
-/** Every fault of a declaration, one a line, each with its JSON path; none when it may be planned. */
+/** Lists all errors of a declaration, each with its JSON path; empty if it is valid. */
 export function checkDeclaration(
   declaration: schemas.Declaration,
-  facts: DeploymentFacts,
+  deployment: DeploymentFacts,
 ): string[] {
-  const check = { declaration, facts };
+  const check = { declaration, deployment };
   return [
     ...checkReferences(declaration),
     ...checkZones(check),
@@ -43,13 +43,13 @@
   }
 }
 
-function* checkZones({ declaration, facts }: Check): Generator<string> {
+function* checkZones({ declaration, deployment }: CheckInput): Generator<string> {
   const lists = [declaration.teams, declaration.intents, declaration.services];
   for (const list of lists) {
     for (const [i, item] of list.entries()) {
       for (const zone of item.availabilityZones) {
-        if (!facts.availabilityZones.includes(zone)) {
-          const known = facts.availabilityZones.join(', ');
+        if (!deployment.availabilityZones.includes(zone)) {
+          const known = deployment.availabilityZones.join(', ');
           yield `${item.kind}s.${i}.availabilityZones: there is no availability zone ${zone}, only ${known}`;
         }
       }
@@ -70,16 +70,16 @@
   }
 }
 
-function* checkIntents({ declaration, facts }: Check): Generator<string> {
+function* checkIntents({ declaration, deployment }: CheckInput): Generator<string> {
   for (const [i, intent] of declaration.intents.entries()) {
     for (const zone of intent.availabilityZones) {
-      const engines = facts.upstreams.filter(
+      const engines = deployment.upstreams.filter(
         (item) => item.kind === 'engine' && item.availabilityZone === zone,
       );
       if (engines.length < intent.upstreamsPerZone) {
         yield `intents.${i}.upstreamsPerZone: ${intent.upstreamsPerZone} are wanted in ${zone}, which has ${engines.length}`;
       }
-      const tokens = facts.engineTokens.get(zone);
+      const tokens = deployment.engineTokens.get(zone);
       if (tokens !== undefined && intent.room > tokens) {
         yield `intents.${i}.room: ${intent.room} tokens are wanted, but an engine in ${zone} has ${tokens}`;
       }
@@ -87,13 +87,13 @@
   }
 }
 
-function* checkServices({ declaration, facts }: Check): Generator<string> {
+function* checkServices({ declaration, deployment }: CheckInput): Generator<string> {
   for (const [i, service] of declaration.services.entries()) {
     for (const zone of service.availabilityZones) {
-      const isThere = facts.upstreams.some(
+      const hasUpstream = deployment.upstreams.some(
         (item) => item.service === service.name && item.availabilityZone === zone,
       );
-      if (!isThere) {
+      if (!hasUpstream) {
         yield `services.${i}.availabilityZones: no upstream of ${service.name} is in ${zone}`;
       }
     }
--- a/packages/intents/src/check-routed-config.ts
+++ b/packages/intents/src/check-routed-config.ts
@@ -1,9 +1,9 @@
 import type * as schemas from '@bramleyridge/schemas';
 
-/** Lists what makes a routed configuration invalid as a whole; each field by itself is checked by its schema. */
+/** Yields the errors of a routed configuration that span several fields; single fields are checked by the schema. */
 export function* checkRoutedConfig(config: schemas.RoutedConfig): Generator<string> {
   yield* checkTargets(config);
-  yield* checkPlaces(config);
+  yield* checkHostPrefixes(config);
   yield* checkKeys(config);
 }
 
@@ -20,15 +20,15 @@
   }
 }
 
-function* checkPlaces(config: schemas.RoutedConfig): Generator<string> {
-  const places = new Map<string, string>();
+function* checkHostPrefixes(config: schemas.RoutedConfig): Generator<string> {
+  const routeNames = new Map<string, string>();
   for (const route of config.routes) {
-    const place = `${route.host.toLowerCase()} ${route.pathPrefix}`;
-    const other = places.get(place);
+    const hostPrefix = `${route.host.toLowerCase()} ${route.pathPrefix}`;
+    const other = routeNames.get(hostPrefix);
     if (other !== undefined) {
-      yield `routes ${other} and ${route.name}: both have host and prefix ${place}`;
+      yield `routes ${other} and ${route.name}: both have host and prefix ${hostPrefix}`;
     }
-    places.set(place, route.name);
+    routeNames.set(hostPrefix, route.name);
   }
 }
 
--- a/packages/intents/src/control-state.ts
+++ b/packages/intents/src/control-state.ts
@@ -1,23 +1,23 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import * as diffs from './diff-declarations.js';
-import * as planLife from './plan-lifecycle.js';
+import * as planLifecycle from './plan-lifecycle.js';
 
-/** How long a plan can be confirmed, in milliseconds. */
+/** How long after its creation a plan can be confirmed, in milliseconds. */
 export const PLAN_LIFETIME_MS = 24 * 3_600_000;
 
-/** How many plans are kept, decided ones included. */
+/** Maximum number of plans kept, including decided ones. */
 const MAX_PLANS = 200;
 
-/** How many answers are kept for operators who resend. */
+/** Maximum number of command results kept to answer repeated commands. */
 const MAX_ANSWERS = 5_000;
 
-/** How many steps are kept for daemons that are a few revisions behind. */
+/** Number of deltas kept for hosts that are a few revisions behind. */
 const MAX_DELTAS = 256;
 
 type StoredPlan = schemas.Plan & { declaration: schemas.Declaration };
 
-/** The whole of the replicated state, as it stands in a snapshot. */
+/** The full replicated state, as stored in a snapshot. */
 export interface ControlSnapshot {
   readonly configuration: schemas.Configuration;
   readonly plans: readonly StoredPlan[];
@@ -25,26 +25,29 @@
   readonly deltas: readonly schemas.Delta[];
 }
 
-/** The aggregate of intents: plans and the configuration in force. Every voter applies the same commands. */
+/**
+ * The replicated control state: plans and the configuration in force. All voters apply the same commands in the same
+ * order.
+ */
 export class ControlState {
   private configuration: schemas.Configuration = createEmptyConfiguration();
   private plans = new Map<string, StoredPlan>();
   private answers = new Map<string, schemas.CommandResult>();
   private deltas: schemas.Delta[] = [];
 
-  /** Applies one command; `index` is its place in the log. */
+  /** Applies one command; `index` is its log index. */
   public apply(command: schemas.Command, index: number): schemas.CommandResult {
     const answerKey = `${command.operator}/${command.requestId}`;
-    // The operator who lost the answer sends the command again. Without the first answer at hand a second
-    // plan would be made, or a confirmation that held would be reported as refused.
+    // An operator that has lost the response repeats the command. Without the stored result a second plan would be
+    // created, or a successful confirmation would be reported as refused.
     const known = this.answers.get(answerKey);
     if (known !== undefined) {
       return known;
     }
     this.expirePlans(command.at);
-    const result = this.run(command, index);
+    const result = this.execute(command, index);
     this.answers.set(answerKey, result);
-    dropOldest(this.answers, MAX_ANSWERS);
+    evictOldest(this.answers, MAX_ANSWERS);
     return result;
   }
 
@@ -53,19 +56,19 @@
     return this.configuration;
   }
 
-  /** The steps from a revision to the present one, or nothing when some were dropped. */
+  /** The deltas from a revision to the current one, or `undefined` if some of them are no longer kept. */
   public findDeltas(from: number): schemas.Delta[] | undefined {
-    const steps = this.deltas.filter((step) => step.from >= from);
-    const isWhole = from === this.configuration.revision || steps[0]?.from === from;
-    return isWhole ? steps : undefined;
+    const deltas = this.deltas.filter((delta) => delta.from >= from);
+    const isWhole = from === this.configuration.revision || deltas[0]?.from === from;
+    return isWhole ? deltas : undefined;
   }
 
-  /** Every plan that is kept, newest first. */
+  /** Lists all plans that are kept, newest first. */
   public listPlans(): schemas.Plan[] {
     return [...this.plans.values()].reverse().map(({ declaration, ...plan }) => plan);
   }
 
-  /** A copy of everything. */
+  /** Returns the full state. */
   public getSnapshot(): ControlSnapshot {
     return {
       configuration: this.configuration,
@@ -75,7 +78,7 @@
     };
   }
 
-  /** Replaces everything. */
+  /** Replaces the full state. */
   public restore(snapshot: ControlSnapshot): void {
     this.configuration = snapshot.configuration;
     this.plans = new Map(snapshot.plans.map((plan) => [plan.planId, plan]));
@@ -83,14 +86,14 @@
     this.deltas = [...snapshot.deltas];
   }
 
-  private run(command: schemas.Command, index: number): schemas.CommandResult {
+  private execute(command: schemas.Command, index: number): schemas.CommandResult {
     switch (command.kind) {
       case 'plan':
         return this.createPlan(command, index);
       case 'confirm':
         return this.confirm(command);
       default:
-        return this.assignSeats(command);
+        return this.assignClaimAcceptors(command);
     }
   }
 
@@ -109,9 +112,9 @@
       declaration: command.declaration,
     };
     this.plans.set(plan.planId, plan);
-    dropOldest(this.plans, MAX_PLANS);
-    const { declaration, ...shown } = plan;
-    return { kind: 'planned', plan: structuredClone(shown) };
+    evictOldest(this.plans, MAX_PLANS);
+    const { declaration, ...publicPlan } = plan;
+    return { kind: 'planned', plan: structuredClone(publicPlan) };
   }
 
   private confirm(command: Extract<schemas.Command, { kind: 'confirm' }>): schemas.CommandResult {
@@ -123,21 +126,23 @@
       return { kind: 'confirmed', planId: plan.planId, revision: plan.revision ?? 0 };
     }
     if (plan.status === 'superseded') {
-      const reason = this.describeSince(plan.baseRevision);
+      const reason = this.describeChangesSince(plan.baseRevision);
       const args = [plan.planId, plan.baseRevision, this.configuration.revision, reason];
       return { kind: 'refused', id: 'conflict', args };
     }
     if (plan.status === 'expired') {
       return { kind: 'refused', id: 'planExpired', args: [plan.planId, plan.status] };
     }
-    this.putInForce(plan.changes);
-    this.movePlan(plan, 'confirm');
+    this.applyRevision(plan.changes);
+    this.transitionPlan(plan, 'confirm');
     plan.revision = this.configuration.revision;
     this.supersedeOthers(plan);
     return { kind: 'confirmed', planId: plan.planId, revision: plan.revision };
   }
 
-  private assignSeats(command: Extract<schemas.Command, { kind: 'seats' }>): schemas.CommandResult {
+  private assignClaimAcceptors(
+    command: Extract<schemas.Command, { kind: 'seats' }>,
+  ): schemas.CommandResult {
     const { claimSeats, claimFounders, revision } = this.configuration;
     const ids = command.holders.map((holder) => holder.slice(0, holder.lastIndexOf('@')));
     const isSame =
@@ -151,8 +156,8 @@
         : { daemonId, since: revision + 1 },
     );
     const isFirst = claimSeats.length === 0 || command.isFounding;
-    this.putInForce([], seats, isFirst ? command.holders : claimFounders);
-    // A plan that was made before is still right: the seats are not part of a declaration.
+    this.applyRevision([], seats, isFirst ? command.holders : claimFounders);
+    // Plans made before remain valid, since claim acceptors are not part of a declaration.
     this.plans.forEach((plan) => {
       if (plan.status === 'planned' && plan.baseRevision === revision) {
         plan.baseRevision = this.configuration.revision;
@@ -161,49 +166,49 @@
     return { kind: 'seated', revision: this.configuration.revision };
   }
 
-  private putInForce(
+  private applyRevision(
     changes: schemas.Change[],
     claimSeats: schemas.ClaimSeat[] = this.configuration.claimSeats,
     claimFounders: string[] = this.configuration.claimFounders,
   ): void {
     const from = this.configuration.revision;
-    const step = { from, to: from + 1, changes, claimSeats, claimFounders };
-    this.configuration = applyDelta(this.configuration, step);
-    this.deltas.push(step);
+    const delta = { from, to: from + 1, changes, claimSeats, claimFounders };
+    this.configuration = applyDelta(this.configuration, delta);
+    this.deltas.push(delta);
     this.deltas = this.deltas.slice(-MAX_DELTAS);
   }
 
-  private supersedeOthers(winner: StoredPlan): void {
+  private supersedeOthers(confirmed: StoredPlan): void {
     this.plans.forEach((plan) => {
       if (plan.status === 'planned' && plan.baseRevision < this.configuration.revision) {
-        this.movePlan(plan, 'supersede');
-        plan.supersededBy = `${winner.planId} of ${winner.operator}`;
+        this.transitionPlan(plan, 'supersede');
+        plan.supersededBy = `${confirmed.planId} of ${confirmed.operator}`;
       }
     });
   }
 
-  private describeSince(revision: number): string {
-    const changes = this.deltas.filter((step) => step.from >= revision).flatMap((s) => s.changes);
-    const who = [...this.plans.values()]
+  private describeChangesSince(revision: number): string {
+    const changes = this.deltas.filter((delta) => delta.from >= revision).flatMap((s) => s.changes);
+    const confirmations = [...this.plans.values()]
       .filter((plan) => (plan.revision ?? 0) > revision)
       .map((plan) => `${plan.operator} confirmed ${plan.planId}`);
-    return [...who, ...changes.map(diffs.describeChange)].join('; ').slice(0, 2_000);
+    return [...confirmations, ...changes.map(diffs.describeChange)].join('; ').slice(0, 2_000);
   }
 
   private expirePlans(now: number): void {
     this.plans.forEach((plan) => {
       if (plan.status === 'planned' && now - plan.createdAt > PLAN_LIFETIME_MS) {
-        this.movePlan(plan, 'expire');
+        this.transitionPlan(plan, 'expire');
       }
     });
   }
 
-  private movePlan(plan: StoredPlan, event: planLife.PlanEvent): void {
-    plan.status = planLife.createPlanLifecycle(plan.status).move(event);
+  private transitionPlan(plan: StoredPlan, event: planLifecycle.PlanEvent): void {
+    plan.status = planLifecycle.createPlanLifecycle(plan.status).move(event);
   }
 }
 
-/** The configuration before any confirmation. */
+/** The configuration before the first confirmation. */
 export function createEmptyConfiguration(): schemas.Configuration {
   return {
     revision: 0,
@@ -214,17 +219,17 @@
   };
 }
 
-/** The configuration one step on. */
+/** Returns the configuration after one delta. */
 export function applyDelta(
   configuration: schemas.Configuration,
-  step: schemas.Delta,
+  delta: schemas.Delta,
 ): schemas.Configuration {
-  const narrowed = step.changes.filter(isNarrowing).map((change) => [change.name, step.to]);
+  const narrowed = delta.changes.filter(isNarrowing).map((change) => [change.name, delta.to]);
   return {
-    revision: step.to,
-    declaration: diffs.applyChanges(configuration.declaration, step.changes),
-    claimSeats: step.claimSeats,
-    claimFounders: step.claimFounders,
+    revision: delta.to,
+    declaration: diffs.applyChanges(configuration.declaration, delta.changes),
+    claimSeats: delta.claimSeats,
+    claimFounders: delta.claimFounders,
     narrowedAt: { ...configuration.narrowedAt, ...Object.fromEntries(narrowed) },
   };
 }
@@ -237,8 +242,8 @@
   return change.before.availabilityZones.some((zone) => !kept.includes(zone));
 }
 
-function dropOldest<V>(map: Map<string, V>, most: number): void {
-  while (map.size > most) {
+function evictOldest<V>(map: Map<string, V>, maxSize: number): void {
+  while (map.size > maxSize) {
     map.delete(map.keys().next().value as string);
   }
 }
--- a/packages/intents/src/diff-declarations.ts
+++ b/packages/intents/src/diff-declarations.ts
@@ -2,7 +2,7 @@
 
 const KINDS = ['team', 'intent', 'service'] as const;
 
-function listOf(
+function getItems(
   declaration: schemas.Declaration,
   kind: schemas.DeclarationFile['kind'],
 ): readonly schemas.DeclarationFile[] {
@@ -14,14 +14,14 @@
   return lists[kind];
 }
 
-/** Every difference between two declarations, in a fixed order. */
+/** Lists the differences between two declarations, in a fixed order. */
 export function diffDeclarations(
   before: schemas.Declaration,
   after: schemas.Declaration,
 ): schemas.Change[] {
   return KINDS.flatMap((kind) => {
-    const old = new Map(listOf(before, kind).map((item) => [item.name, item]));
-    const now = new Map(listOf(after, kind).map((item) => [item.name, item]));
+    const old = new Map(getItems(before, kind).map((item) => [item.name, item]));
+    const now = new Map(getItems(after, kind).map((item) => [item.name, item]));
     const names = [...new Set([...old.keys(), ...now.keys()])].sort();
     return names
       .map((name) => ({ kind, name, before: old.get(name), after: now.get(name) }))
@@ -29,13 +29,15 @@
   });
 }
 
-/** The declaration after some changes. */
+/** Returns a declaration with changes applied. */
 export function applyChanges(
   declaration: schemas.Declaration,
   changes: readonly schemas.Change[],
 ): schemas.Declaration {
   const key = (item: { kind: string; name: string }) => `${item.kind}/${item.name}`;
-  const items = new Map(KINDS.flatMap((kind) => listOf(declaration, kind)).map((i) => [key(i), i]));
+  const items = new Map(
+    KINDS.flatMap((kind) => getItems(declaration, kind)).map((i) => [key(i), i]),
+  );
   changes.forEach((change) => {
     if (change.after === undefined) {
       items.delete(key(change));
@@ -46,7 +48,7 @@
   return schemas.createDeclaration([...items.values()]);
 }
 
-/** One difference in words. */
+/** Formats one change as text. */
 export function describeChange(change: schemas.Change): string {
   const subject = `${change.kind} ${change.name}`;
   if (change.before === undefined) {
--- a/packages/intents/src/evacuation-state.ts
+++ b/packages/intents/src/evacuation-state.ts
@@ -1,46 +1,46 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as z from 'zod';
 
-/** An operator's order on one availability zone, as it stands in the replicated log. */
+/** An operator's order for one availability zone, as stored in the replicated log. */
 export const evacuationEntry = z.object({
   evacuation: z.object({
     availabilityZone: z.string().min(1),
-    /** Whether the zone is to get no new work, or takes work again. */
+    /** Whether the zone gets no new work (true) or takes work again (false). */
     isEvacuated: z.boolean(),
-    /** The revision on which the order was given. */
+    /** The revision that the operator had read when giving the order. */
     expectedRevision: z.int().min(0),
   }),
 });
 
-/** Which zones are evacuated, and how many orders have changed that. */
+/** The evacuated zones; `revision` counts the orders that have changed them. */
 export const evacuatedZones = z.object({
   revision: z.int().min(0),
   zones: z.array(z.string()).readonly(),
 });
 
-/** An order on one availability zone in the replicated log. */
+/** An order for one availability zone in the replicated log. */
 export type EvacuationEntry = z.infer<typeof evacuationEntry>;
-/** Which zones are evacuated. */
+/** The evacuated zones. */
 export type EvacuatedZones = z.infer<typeof evacuatedZones>;
 
-/** What became of an order; a stale one was given on a revision that is no longer in force. */
+/** The result of an order; `stale` if it was given for a revision that is no longer current. */
 export type EvacuationResult = 'changed' | 'unchanged' | 'stale';
 
-/** Whether an entry of the log is an order on an availability zone. */
+/** Whether the data of a log entry is an order for an availability zone. */
 export function isEvacuationEntry(data: unknown): data is EvacuationEntry {
   return evacuationEntry.safeParse(data).success;
 }
 
 /**
- * The availability zones that operators have evacuated. Orders carry no number of their own, so each is bound to the
- * revision that its sender has read: one that was held up on the way cannot undo what was ordered after it.
+ * The availability zones that operators have evacuated. Orders have no sequence number, so each carries the revision
+ * that its sender has read (optimistic concurrency): a delayed order can't undo a later one.
  */
 export class EvacuationState {
   public readonly changed = new schemas.ChangeSignal();
   private revision = 0;
   private zones: ReadonlySet<string> = new Set();
 
-  /** Applies one order; the same on every voter. */
+  /** Applies one order; deterministic on every voter. */
   public apply({ evacuation }: EvacuationEntry): EvacuationResult {
     const { availabilityZone, expectedRevision, isEvacuated } = evacuation;
     if (this.zones.has(availabilityZone) === isEvacuated) {
@@ -56,23 +56,23 @@
     return 'changed';
   }
 
-  /** What is in force. */
+  /** The zones that are evacuated now. */
   public get(): EvacuatedZones {
     return { revision: this.revision, zones: [...this.zones] };
   }
 
-  /** Whether a zone is to get no new work. */
+  /** Whether a zone is evacuated, so gets no new work. */
   public has(availabilityZone: string): boolean {
     return this.zones.has(availabilityZone);
   }
 
-  /** Takes facts that are newer, from a snapshot or from another host; gives whether they were. */
-  public restore(facts: EvacuatedZones): boolean {
-    if (facts.revision <= this.revision) {
+  /** Restores newer zones, from a snapshot or another host; returns whether they were newer. */
+  public restore(state: EvacuatedZones): boolean {
+    if (state.revision <= this.revision) {
       return false;
     }
-    this.revision = facts.revision;
-    this.zones = new Set(facts.zones);
+    this.revision = state.revision;
+    this.zones = new Set(state.zones);
     this.changed.notify();
     return true;
   }
--- a/packages/intents/src/index.ts
+++ b/packages/intents/src/index.ts
@@ -1,4 +1,4 @@
-/** Intents, plans and confirmations: their rules, without input or output. */
+/** Rules of intents, plans and confirmations, without I/O. */
 export * from './check-declaration.js';
 export * from './control-state.js';
 export * from './diff-declarations.js';
--- a/packages/intents/src/plan-lifecycle.ts
+++ b/packages/intents/src/plan-lifecycle.ts
@@ -1,18 +1,18 @@
 import * as schemas from '@bramleyridge/schemas';
 
-/** What happens to a plan. */
+/** Events of a plan. */
 export type PlanEvent = 'confirm' | 'supersede' | 'expire';
 
-const MOVES: schemas.Moves<schemas.PlanStatus, PlanEvent> = {
+const TRANSITIONS: schemas.Moves<schemas.PlanStatus, PlanEvent> = {
   planned: { confirm: 'confirmed', supersede: 'superseded', expire: 'expired' },
   confirmed: {},
   superseded: {},
   expired: {},
 };
 
-/** The life of a plan, from a stored status on. */
+/** The lifecycle of a plan, starting from a stored status. */
 export function createPlanLifecycle(
   status: schemas.PlanStatus,
 ): schemas.Lifecycle<schemas.PlanStatus, PlanEvent> {
-  return new schemas.Lifecycle(MOVES, status);
+  return new schemas.Lifecycle(TRANSITIONS, status);
 }
--- a/packages/intents/tests/control-state.test.ts
+++ b/packages/intents/tests/control-state.test.ts
@@ -37,7 +37,7 @@
     return this.state.apply({ kind: 'confirm', requestId, operator, at, planId }, this.index);
   }
 
-  public seat(holders: string[], isFounding = false) {
+  public assignAcceptors(holders: string[], isFounding = false) {
     this.index += 1;
     const requestId = `${this.index}`;
     return this.state.apply(
@@ -48,7 +48,7 @@
 }
 
 void tap.default.test(
-  'of two plans on one base one wins, the other is told who and what',
+  'of two plans on one revision one is confirmed; the other is refused with who changed what',
   async (t) => {
     const operators = new Operators();
     const one = operators.plan('amina', [createTeam('x', ['a'])]);
@@ -64,24 +64,27 @@
   },
 );
 
-void tap.default.test('a resend gets the first answer, whatever happened since', async (t) => {
-  const operators = new Operators();
-  const one = operators.plan('amina', [createTeam('x', ['a'])]);
-  const first = operators.confirm('amina', one, 0, 'same');
-  const next = operators.plan('bela', [createTeam('x', ['a', 'b'])]);
-  operators.confirm('bela', next);
-  t.same(operators.confirm('amina', one, 0, 'same'), first);
-  const plan = operators.plan('amina', [createTeam('z', ['a'])], 0, 'plan-again');
-  t.equal(operators.plan('amina', [createTeam('z', ['a'])], 0, 'plan-again'), plan, 'one plan');
-  t.equal(operators.state.getConfiguration().revision, 2, 'and nothing was put in force again');
-  t.match(
-    operators.confirm('amina', one),
-    { kind: 'confirmed', revision: 1 },
-    'also under another number',
-  );
-});
+void tap.default.test(
+  'a repeated command gets the first result, whatever happened since',
+  async (t) => {
+    const operators = new Operators();
+    const one = operators.plan('amina', [createTeam('x', ['a'])]);
+    const first = operators.confirm('amina', one, 0, 'same');
+    const next = operators.plan('bela', [createTeam('x', ['a', 'b'])]);
+    operators.confirm('bela', next);
+    t.same(operators.confirm('amina', one, 0, 'same'), first);
+    const plan = operators.plan('amina', [createTeam('z', ['a'])], 0, 'plan-again');
+    t.equal(operators.plan('amina', [createTeam('z', ['a'])], 0, 'plan-again'), plan, 'one plan');
+    t.equal(operators.state.getConfiguration().revision, 2, 'and no change was applied again');
+    t.match(
+      operators.confirm('amina', one),
+      { kind: 'confirmed', revision: 1 },
+      'also with another request id',
+    );
+  },
+);
 
-void tap.default.test('plans expire, unknown ones are refused', async (t) => {
+void tap.default.test('expired and unknown plans are refused', async (t) => {
   const operators = new Operators();
   const plan = operators.plan('amina', [createTeam('x', ['a'])]);
   const late = operators.confirm('amina', plan, intents.PLAN_LIFETIME_MS + 1);
@@ -89,7 +92,7 @@
   t.match(operators.confirm('amina', 'plan-99'), { kind: 'refused', id: 'noPlan' });
 });
 
-void tap.default.test('steps lead from any kept revision to the present one', async (t) => {
+void tap.default.test('deltas lead from any kept revision to the current one', async (t) => {
   const operators = new Operators();
   const snapshots: schemas.Configuration[] = [];
   for (let i = 0; i < 20; i += 1) {
@@ -103,37 +106,43 @@
     const to = steps.reduce(intents.applyDelta, from);
     t.same(to, operators.state.getConfiguration(), `from revision ${from.revision}`);
   });
-  t.equal(operators.state.getConfiguration().narrowedAt.x, 20, 'the last narrowing is noted');
+  t.equal(operators.state.getConfiguration().narrowedAt.x, 20, 'the last narrowing is recorded');
 });
 
-void tap.default.test('a snapshot restores everything, answers included', async (t) => {
-  const operators = new Operators();
-  const plan = operators.plan('amina', [createTeam('x', ['a'])]);
-  const answer = operators.confirm('amina', plan, 0, 'r');
-  const other = new intents.ControlState();
-  other.restore(structuredClone(operators.state.getSnapshot()));
-  t.same(
-    other.apply({ kind: 'confirm', requestId: 'r', operator: 'amina', at: 0, planId: plan }, 9),
-    answer,
-  );
-  t.same(other.getConfiguration(), operators.state.getConfiguration());
-});
+void tap.default.test(
+  'a snapshot restores the full state, including command results',
+  async (t) => {
+    const operators = new Operators();
+    const plan = operators.plan('amina', [createTeam('x', ['a'])]);
+    const answer = operators.confirm('amina', plan, 0, 'r');
+    const other = new intents.ControlState();
+    other.restore(structuredClone(operators.state.getSnapshot()));
+    t.same(
+      other.apply({ kind: 'confirm', requestId: 'r', operator: 'amina', at: 0, planId: plan }, 9),
+      answer,
+    );
+    t.same(other.getConfiguration(), operators.state.getConfiguration());
+  },
+);
 
-void tap.default.test('seats change one holder at a time and keep open plans valid', async (t) => {
-  const operators = new Operators();
-  const plan = operators.plan('amina', [createTeam('x', ['a'])]);
-  operators.seat(['a@1', 'b@1', 'c@1']);
-  t.match(
-    operators.confirm('amina', plan),
-    { kind: 'confirmed' },
-    'the plan is not outdated by seats',
-  );
-  operators.seat(['a@1', 'd@5', 'c@1']);
-  const { claimFounders, claimSeats } = operators.state.getConfiguration();
-  t.same(claimSeats, [
-    { daemonId: 'a', since: 1 },
-    { daemonId: 'd', since: 3 },
-    { daemonId: 'c', since: 1 },
-  ]);
-  t.same(claimFounders, ['a@1', 'b@1', 'c@1'], 'a later holder is no founder');
-});
+void tap.default.test(
+  'changes of claim acceptors affect single holders and keep open plans valid',
+  async (t) => {
+    const operators = new Operators();
+    const plan = operators.plan('amina', [createTeam('x', ['a'])]);
+    operators.assignAcceptors(['a@1', 'b@1', 'c@1']);
+    t.match(
+      operators.confirm('amina', plan),
+      { kind: 'confirmed' },
+      'the plan is not superseded by a change of claim acceptors',
+    );
+    operators.assignAcceptors(['a@1', 'd@5', 'c@1']);
+    const { claimFounders, claimSeats } = operators.state.getConfiguration();
+    t.same(claimSeats, [
+      { daemonId: 'a', since: 1 },
+      { daemonId: 'd', since: 3 },
+      { daemonId: 'c', since: 1 },
+    ]);
+    t.same(claimFounders, ['a@1', 'b@1', 'c@1'], 'a later acceptor is no founder');
+  },
+);
--- a/packages/intents/tests/evacuation-state.test.ts
+++ b/packages/intents/tests/evacuation-state.test.ts
@@ -9,7 +9,7 @@
 void tap.default.test('orders change the zones that are evacuated', async (t) => {
   const state = new evacuationStates.EvacuationState();
   t.equal(state.apply(order('a', true, 0)), 'changed');
-  t.equal(state.apply(order('a', true, 0)), 'unchanged', 'sent again');
+  t.equal(state.apply(order('a', true, 0)), 'unchanged', 'repeated');
   t.equal(state.apply(order('b', true, 1)), 'changed');
   t.same(state.get(), { revision: 2, zones: ['a', 'b'] });
   t.equal(state.apply(order('a', false, 2)), 'changed');
@@ -17,8 +17,8 @@
   t.same(state.get(), { revision: 3, zones: ['b'] });
 });
 
-// Guards against an order that was held up on the way and undoes a later one.
-void tap.default.test('an order given on an older revision changes nothing', async (t) => {
+// Guards against a delayed order that undoes a later one.
+void tap.default.test('an order for an older revision is ignored', async (t) => {
   const state = new evacuationStates.EvacuationState();
   state.apply(order('a', true, 0));
   state.apply(order('a', false, 1));
@@ -26,16 +26,16 @@
   t.same(state.get(), { revision: 2, zones: [] });
 });
 
-// Guards against a host that goes back to older zones after its log was read anew.
-void tap.default.test('older facts are not taken', async (t) => {
+// Guards against a host that reverts to older zones when its log is replayed.
+void tap.default.test('an older state is not restored', async (t) => {
   const state = new evacuationStates.EvacuationState();
   t.ok(state.restore({ revision: 4, zones: ['a'] }));
   t.notOk(state.restore({ revision: 3, zones: [] }));
   t.ok(state.has('a'));
-  t.equal(state.apply(order('a', false, 2)), 'stale', 'nor entries that were applied already');
+  t.equal(state.apply(order('a', false, 2)), 'stale', 'nor are entries that were already applied');
 });
 
-void tap.default.test('entries of other kinds are told apart', async (t) => {
+void tap.default.test('log entries of other kinds are distinguished', async (t) => {
   t.ok(evacuationStates.isEvacuationEntry(order('a', true, 0)));
   t.notOk(evacuationStates.isEvacuationEntry({ version: 1, text: '{}' }));
 });
