--- a/packages/consensus/src/batch-frame.ts
+++ b/packages/consensus/src/batch-frame.ts
@@ -5,34 +5,37 @@
 
 const hasher = await xxhash.default();
 
-/** Marks the start of a batch, so that a later whole batch can be found behind a damaged one. */
+/** Magic number at the start of a batch, by which an intact batch after a damaged one is found. */
 const MAGIC = Buffer.from('BRL1');
 
-/** Magic, length and checksum. */
-const HEAD_BYTES = 12;
+/** Size of a batch header in bytes: magic number, body length and checksum. */
+const HEADER_BYTES = 12;
 
 const packr = new msgpackr.Packr({ useRecords: false });
 
-/** Encodes one batch: everything that is synced together stands or falls together. */
+/**
+ * Encodes one batch. The checksum covers all records that are synced together, so a batch is recovered whole or not at
+ * all.
+ */
 export function encodeBatch(batch: unknown): Buffer {
   const body = packr.pack(batch);
-  const head = Buffer.alloc(HEAD_BYTES);
-  MAGIC.copy(head);
-  head.writeUInt32BE(body.length, 4);
-  head.writeUInt32BE(hasher.h32Raw(body), 8);
-  return Buffer.concat([head, body]);
+  const header = Buffer.alloc(HEADER_BYTES);
+  MAGIC.copy(header);
+  header.writeUInt32BE(body.length, 4);
+  header.writeUInt32BE(hasher.h32Raw(body), 8);
+  return Buffer.concat([header, body]);
 }
 
-/** Every whole batch of a file, and the length up to which the file is whole. */
+/** The intact batches at the start of a file, and their total length in bytes. */
 export interface DecodedBatchFile {
   readonly batches: unknown[];
   readonly wholeBytes: number;
 }
 
 /**
- * Reads a file of batches. A damaged end is a write that a crash cut short: nothing was promised on it,
- * since a batch is synced before any promise and before the next is written. Damage with a whole batch
- * behind it is something else: promises were made on what is lost, so the file is refused.
+ * Decodes a file of batches. A damaged last batch is a write that a crash interrupted. It was never acknowledged,
+ * because a batch is synced before it is acknowledged and before the next one is written. If an intact batch follows
+ * the damage, acknowledged data is lost, so the file is rejected.
  */
 export function decodeBatchFile(name: string, bytes: Buffer): DecodedBatchFile {
   const batches: unknown[] = [];
@@ -42,7 +45,7 @@
     if (end === undefined) {
       break;
     }
-    batches.push(packr.unpack(bytes.subarray(at + HEAD_BYTES, end)));
+    batches.push(packr.unpack(bytes.subarray(at + HEADER_BYTES, end)));
     at = end;
   }
   if (hasWholeBatchAfter(bytes, at)) {
@@ -52,15 +55,15 @@
 }
 
 function findBatchEnd(bytes: Buffer, at: number): number | undefined {
-  if (bytes.length < at + HEAD_BYTES || bytes.compare(MAGIC, 0, 4, at, at + 4) !== 0) {
+  if (bytes.length < at + HEADER_BYTES || bytes.compare(MAGIC, 0, 4, at, at + 4) !== 0) {
     return undefined;
   }
-  const end = at + HEAD_BYTES + bytes.readUInt32BE(at + 4);
+  const end = at + HEADER_BYTES + bytes.readUInt32BE(at + 4);
   if (end > bytes.length) {
     return undefined;
   }
-  const sum = hasher.h32Raw(bytes.subarray(at + HEAD_BYTES, end));
-  return sum === bytes.readUInt32BE(at + 8) ? end : undefined;
+  const checksum = hasher.h32Raw(bytes.subarray(at + HEADER_BYTES, end));
+  return checksum === bytes.readUInt32BE(at + 8) ? end : undefined;
 }
 
 function hasWholeBatchAfter(bytes: Buffer, from: number): boolean {
--- a/packages/consensus/src/entry-log.ts
+++ b/packages/consensus/src/entry-log.ts
@@ -2,7 +2,7 @@
 import type * as types from './types.js';
 import type * as wal from './wal.js';
 
-/** The entries that a voter holds in memory, behind the snapshot that they follow. */
+/** The log entries that a voter keeps in memory, after its last snapshot. */
 export class EntryLog {
   private entries: types.Entry[];
   private base: { index: number; term: number; seating: types.VoterSet };
@@ -27,17 +27,17 @@
     return this.entries.at(-1)?.term ?? this.base.term;
   }
 
-  /** The index that the snapshot stands for. */
+  /** The index of the last entry that the snapshot covers. */
   public get baseIndex(): number {
     return this.base.index;
   }
 
-  /** How many entries stand behind the snapshot. */
+  /** The number of entries after the snapshot. */
   public get length(): number {
     return this.entries.length;
   }
 
-  /** The term of an entry, or nothing when the log does not hold it. */
+  /** The term of an entry, or `undefined` if the log does not contain it. */
   public findTerm(index: number): number | undefined {
     if (index === this.base.index) {
       return this.base.term;
@@ -45,18 +45,18 @@
     return this.find(index)?.term;
   }
 
-  /** An entry, or nothing when the log does not hold it. */
+  /** An entry, or `undefined` if the log does not contain it. */
   public find(index: number): types.Entry | undefined {
     return this.entries[index - this.base.index - 1];
   }
 
-  /** Up to `most` entries from an index on. */
-  public slice(from: number, most: number): types.Entry[] {
+  /** Returns up to `maxCount` entries starting at an index. */
+  public slice(from: number, maxCount: number): types.Entry[] {
     const start = from - this.base.index - 1;
-    return this.entries.slice(start, start + most);
+    return this.entries.slice(start, start + maxCount);
   }
 
-  /** Adds entries, dropping whatever stood at their place and behind. */
+  /** Appends entries, first truncating the log from the index of the first one. */
   public append(entries: readonly types.Entry[]): void {
     const first = entries[0];
     if (first === undefined) {
@@ -66,34 +66,34 @@
     this.entries.push(...entries);
   }
 
-  /** Who votes now: a change counts from the moment it stands in the log. */
+  /** The current voter set. As in Raft, a change takes effect when it is appended, not when it is committed. */
   public getVoterSet(): types.VoterSet {
     return this.getVoterSetAt(this.lastIndex);
   }
 
-  /** Who votes as of an index. */
+  /** The voter set as of an index. */
   public getVoterSetAt(index: number): types.VoterSet {
     const changes = this.entries.filter((item) => item.kind === 'voters' && item.index <= index);
     const last = changes.at(-1);
     return last === undefined ? this.base.seating : readSeating(last.data);
   }
 
-  /** The majorities that count now. */
+  /** The quorum of the current voter set. */
   public getQuorum(): quorums.Quorum {
     return new quorums.Quorum(this.getVoterSet());
   }
 
-  /** Everyone who votes now. */
+  /** All current voters, including those of the former set during a membership change. */
   public getVoters(): readonly types.VoterSlot[] {
     return this.getQuorum().listVoters();
   }
 
-  /** The index of the last change of voters in the log, or 0. */
+  /** The index of the last voter set entry in the log, or 0. */
   public getLastVoterChangeIndex(): number {
     return this.entries.filter((item) => item.kind === 'voters').at(-1)?.index ?? 0;
   }
 
-  /** Drops the entries that a snapshot now stands for. */
+  /** Discards the entries up to an index, which a snapshot covers. */
   public compactTo(index: number): void {
     const term = this.findTerm(index) ?? this.base.term;
     const seating = this.getVoterSetAt(index);
@@ -101,7 +101,7 @@
     this.base = { index, term, seating };
   }
 
-  /** Replaces everything by a snapshot from the leader. */
+  /** Replaces the whole log by a snapshot from the leader. */
   public resetTo(snapshot: wal.Snapshot): void {
     this.entries = [];
     this.base = {
@@ -118,7 +118,7 @@
     : { seats: [...voters], former: [...formerVoters] };
 }
 
-/** Logs of earlier versions hold the bare list of voters. */
+/** Reads a voter set entry. Logs of earlier versions contain a plain list of voters instead. */
 function readSeating(data: unknown): types.VoterSet {
   return Array.isArray(data) ? { seats: data as types.VoterSlot[] } : (data as types.VoterSet);
 }
--- a/packages/consensus/src/file-storage.ts
+++ b/packages/consensus/src/file-storage.ts
@@ -1,33 +1,33 @@
 import * as fs from 'node:fs/promises';
 import * as path from 'node:path';
 
-/** The few file operations that durable state needs; tests inject their own and crash between them. */
+/** File operations for durable state; tests inject an implementation that simulates crashes between them. */
 export interface FileStorage {
   read(name: string): Promise<Buffer | undefined>;
   /** Appends without syncing. */
   append(name: string, bytes: Buffer): Promise<void>;
   sync(name: string): Promise<void>;
   truncate(name: string, length: number): Promise<void>;
-  /** Writes a file whole, synced, so that after a crash it is the old or the new one. */
+  /** Replaces a file atomically and syncs it: after a crash it has either the old or the new contents. */
   replace(name: string, bytes: Buffer): Promise<void>;
-  /** Lets go of open files; there may be none. */
+  /** Closes open files; absent if the implementation keeps none open. */
   close?(): Promise<void>;
 }
 
-/** Files below one data folder. */
+/** Files in one data directory. */
 export class DirectoryStorage implements FileStorage {
   private readonly handles = new Map<string, fs.FileHandle>();
 
-  public constructor(private readonly folder: string) {}
+  public constructor(private readonly directory: string) {}
 
-  /** Makes the data folder. */
+  /** Creates the data directory. */
   public async open(): Promise<void> {
-    await fs.mkdir(this.folder, { recursive: true });
+    await fs.mkdir(this.directory, { recursive: true });
   }
 
   public async read(name: string): Promise<Buffer | undefined> {
     try {
-      return await fs.readFile(path.join(this.folder, name));
+      return await fs.readFile(path.join(this.directory, name));
     } catch (err) {
       if ((err as NodeJS.ErrnoException).code === 'ENOENT') {
         return undefined;
@@ -53,16 +53,16 @@
   }
 
   public async replace(name: string, bytes: Buffer): Promise<void> {
-    const target = path.join(this.folder, name);
-    const draft = `${target}.new`;
-    const handle = await fs.open(draft, 'w');
+    const target = path.join(this.directory, name);
+    const temporaryPath = `${target}.new`;
+    const handle = await fs.open(temporaryPath, 'w');
     await handle.writeFile(bytes);
     await handle.sync();
     await handle.close();
     await this.handles.get(name)?.close();
     this.handles.delete(name);
-    await fs.rename(draft, target);
-    await this.syncFolder();
+    await fs.rename(temporaryPath, target);
+    await this.syncDirectory();
   }
 
   /** Closes every open file. */
@@ -76,15 +76,15 @@
     if (known !== undefined) {
       return known;
     }
-    const handle = await fs.open(path.join(this.folder, name), 'a');
+    const handle = await fs.open(path.join(this.directory, name), 'a');
     this.handles.set(name, handle);
-    // A new file is lost in a power cut until its folder's entry is synced too.
-    await this.syncFolder();
+    // A new file may be lost on a power failure until its directory entry is synced too.
+    await this.syncDirectory();
     return handle;
   }
 
-  private async syncFolder(): Promise<void> {
-    const handle = await fs.open(this.folder, 'r');
+  private async syncDirectory(): Promise<void> {
+    const handle = await fs.open(this.directory, 'r');
     await handle.sync();
     await handle.close();
   }
--- a/packages/consensus/src/genesis.ts
+++ b/packages/consensus/src/genesis.ts
@@ -3,42 +3,46 @@
 import type * as schemas from '@bramleyridge/schemas';
 
 import * as batchFrame from './batch-frame.js';
-import type * as fileLayer from './file-storage.js';
+import type * as fileStorage from './file-storage.js';
 import type * as types from './types.js';
 
 const GENESIS_FILE = 'identity';
 
-/** How long to wait before asking the other voters again, in milliseconds. */
-const ASK_AGAIN_MS = 200;
+/** Time between two rounds of requests to the other hosts, in milliseconds. */
+const RETRY_INTERVAL_MS = 200;
 
-/** The number of this data folder, and the first voters, empty while they are not agreed. */
+/** The identity of a data directory. */
 export interface Genesis {
+  /** A random id that the data directory gets when it is created. */
   readonly voterId: string;
+  /** The initial voters; empty until they are agreed. */
   readonly voters: readonly types.VoterSlot[];
-  /** Who may found the log together; kept, since a host that restarts before it is founded still may. */
+  /**
+   * The hosts that may bootstrap the log. Stored, so that a host that restarts before bootstrap is still one of them.
+   */
   readonly founders?: readonly string[];
 }
 
-/** What agreeing on the first voters needs. */
+/** Options of `agreeGenesis`. */
 export interface GenesisOptions {
-  readonly files: fileLayer.FileStorage;
+  readonly files: fileStorage.FileStorage;
   readonly identity: Genesis;
   readonly daemonId: string;
-  /** Who founds the log; nobody on a host that can only join one that stands. */
+  /** The hosts that bootstrap the log; empty on a host that may only join an existing one. */
   readonly founders: readonly string[];
-  /** Whom to ask, as far as they are known now. */
+  /** Lists the peers that are known so far. */
   readonly listPeers: () => readonly string[];
   readonly fetchGenesis: FetchGenesis;
   readonly clock: schemas.Clock;
   readonly signal: AbortSignal;
 }
 
-/** What a voter tells another that has no first voters yet. */
+/** Fetches the genesis of a peer. */
 export type FetchGenesis = (peer: string) => Promise<Genesis>;
 
-/** Reads the identity of a data folder, or gives an empty folder a new one. */
+/** Reads the identity of a data directory, or creates one if the directory is empty. */
 export async function openIdentity(
-  files: fileLayer.FileStorage,
+  files: fileStorage.FileStorage,
   founders: readonly string[] = [],
 ): Promise<Genesis> {
   const bytes = await files.read(GENESIS_FILE);
@@ -47,59 +51,54 @@
   if (known !== undefined) {
     return known as Genesis;
   }
-  const fresh: Genesis = { voterId: crypto.randomUUID(), voters: [], founders };
-  await files.replace(GENESIS_FILE, batchFrame.encodeBatch(fresh));
-  return fresh;
+  const created: Genesis = { voterId: crypto.randomUUID(), voters: [], founders };
+  await files.replace(GENESIS_FILE, batchFrame.encodeBatch(created));
+  return created;
 }
 
 /**
- * Agrees on the first voters. A lost disk must not come back as a blank vote: it could elect a leader
- * without entries that were promised. So a folder's number is random, the first voters are named by these
- * numbers, and they are fixed once, by the lowest-named voter, after every one of them has answered.
- * A folder that was lost and made anew has another number, finds itself not among them, and cannot vote
- * until it is added. Who is no founder only ever joins: three empty hosts that know just each other would
- * otherwise found a second log beside the first.
+ * Agrees on the initial voters. A host that lost its disk must not vote: with an empty log it could elect a leader
+ * that lacks acknowledged entries. Therefore a data directory gets a random id, the initial voters are identified by
+ * these ids, and the founder with the lowest name fixes them once, after all founders have answered. A directory that
+ * is recreated gets a different id, is not among the voters, and can't vote until it is added. Other hosts than the
+ * founders only join: otherwise three empty hosts that know only each other would bootstrap a second log.
  */
 export async function agreeGenesis(options: GenesisOptions): Promise<Genesis> {
-  const {
-    files,
-    identity,
-    daemonId,
-    founders,
-    listPeers,
-    fetchGenesis: ask,
-    clock,
-    signal,
-  } = options;
+  const { files, identity, daemonId, founders, listPeers, fetchGenesis, clock, signal } = options;
   if (identity.voters.length > 0) {
     return identity;
   }
-  const isFirst = founders.includes(daemonId) && founders.every((peer) => daemonId <= peer);
-  const partners = founders.filter((peer) => peer !== daemonId);
+  const isInitiator = founders.includes(daemonId) && founders.every((peer) => daemonId <= peer);
+  const otherFounders = founders.filter((peer) => peer !== daemonId);
   for (;;) {
-    const others = [...new Set([...partners, ...listPeers()])].filter((peer) => peer !== daemonId);
-    const answers = await Promise.all(others.map((peer) => ask(peer).catch(() => undefined)));
+    const others = [...new Set([...otherFounders, ...listPeers()])].filter(
+      (peer) => peer !== daemonId,
+    );
+    const answers = await Promise.all(
+      others.map((peer) => fetchGenesis(peer).catch(() => undefined)),
+    );
     const agreed = answers.find((answer) => answer !== undefined && answer.voters.length > 0);
     const voters =
-      agreed?.voters ?? (isFirst ? collect(daemonId, identity, partners, answers) : undefined);
+      agreed?.voters ??
+      (isInitiator ? collectVoters(daemonId, identity, otherFounders, answers) : undefined);
     if (voters !== undefined) {
       const genesis: Genesis = { voterId: identity.voterId, voters };
       await files.replace(GENESIS_FILE, batchFrame.encodeBatch(genesis));
       return genesis;
     }
-    await clock.sleep(ASK_AGAIN_MS, signal);
+    await clock.sleep(RETRY_INTERVAL_MS, signal);
   }
 }
 
-function collect(
+function collectVoters(
   daemonId: string,
   identity: Genesis,
   others: readonly string[],
   answers: readonly (Genesis | undefined)[],
 ): types.VoterSlot[] | undefined {
-  const seats = others.map((peer, i) => ({ daemonId: peer, voterId: answers[i]?.voterId }));
-  const isWhole = seats.every((seat) => seat.voterId !== undefined);
+  const slots = others.map((peer, i) => ({ daemonId: peer, voterId: answers[i]?.voterId }));
+  const isWhole = slots.every((slot) => slot.voterId !== undefined);
   return isWhole
-    ? [{ daemonId, voterId: identity.voterId }, ...(seats as types.VoterSlot[])]
+    ? [{ daemonId, voterId: identity.voterId }, ...(slots as types.VoterSlot[])]
     : undefined;
 }
--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -1,4 +1,4 @@
-/** The replicated log of the voters. */
+/** The replicated log: Raft elections, replication, membership changes and durable state. */
 export * from './batch-frame.js';
 export * from './run-elections.js';
 export * from './entry-log.js';
--- a/packages/consensus/src/leadership.ts
+++ b/packages/consensus/src/leadership.ts
@@ -1,30 +1,36 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import * as replicators from './replicator.js';
-import * as seatChanges from './membership-change.js';
+import * as membershipChanges from './membership-change.js';
 import type * as types from './types.js';
 import type * as voters from './voter.js';
 
-/** Heartbeats in one election timeout. */
+/** Number of heartbeats per election timeout. */
 const HEARTBEATS_PER_ELECTION = 3;
 
-/** How many election timeouts a voter may not hold what is committed before it counts as silent; as for a whole majority. */
-const SILENT_ELECTIONS = 2;
+/**
+ * How long a voter may lack committed entries before it counts as lagging, in election timeouts. Equals the time after
+ * which a leader without a majority steps down.
+ */
+const MAX_LAG_ELECTIONS = 2;
 
-/** For how many election timeouts a host whose seat was taken away is still told of it: six heartbeats. */
+/**
+ * How long entries are still sent to a host that lost its slot, so that it learns of it, in election timeouts: six
+ * heartbeats.
+ */
 const RETIRE_ELECTIONS = 2;
 
-/** What a voter does while it leads, and what it knows of the others. */
-export class Leadership implements seatChanges.MembershipLog {
+/** The state and tasks of a voter while it is the leader: replication, commits, lease and membership changes. */
+export class Leadership implements membershipChanges.MembershipLog {
   public readonly term: number;
   public readonly appended = new schemas.ChangeSignal();
   public readonly heartbeatMs: number;
   public readonly startedAt: number;
   private readonly peers = new Map<string, replicators.Replicator>();
-  private readonly seatChange = new seatChanges.MembershipChange(this);
+  private readonly membershipChange = new membershipChanges.MembershipChange(this);
   private active = true;
   private durableIndex = 0;
-  private waiting: { entry: types.Entry; reject: (err: Error) => void }[] = [];
+  private pendingProposals: { entry: types.Entry; reject: (err: Error) => void }[] = [];
 
   public constructor(public readonly voter: voters.Voter) {
     this.term = voter.term;
@@ -32,57 +38,63 @@
     this.startedAt = voter.options.clock.now();
   }
 
-  /** Starts the tasks; an empty entry of the new term lets older entries be counted as committed. */
+  /**
+   * Starts the tasks. Appends a no-op, since entries of earlier terms commit only together with one of the current
+   * term.
+   */
   public start(): void {
     this.syncPeers();
     this.append('noop', null);
-    void this.watchQuorum();
-    void this.finishSeatChange();
+    void this.monitorQuorum();
+    void this.finishMembershipChange();
     this.voter.options.log.info({ decision: 'lead', term: this.term, peer: this.voter.daemonId });
   }
 
-  /** Ends the tasks; proposals whose fate is not known are told so. */
+  /** Stops the tasks and rejects proposals whose outcome is unknown. */
   public stop(reason: string): void {
     this.active = false;
     this.peers.forEach((peer) => peer.stop());
     this.appended.notify();
-    const lost = this.waiting;
-    this.waiting = [];
-    lost.forEach((item) => item.reject(createNotLeader()));
+    const unresolved = this.pendingProposals;
+    this.pendingProposals = [];
+    unresolved.forEach((item) => item.reject(createNotLeader()));
     this.voter.options.log.info({ decision: 'step-down', term: this.term, reason });
   }
 
-  /** Whether this leadership still stands. */
+  /** Whether this voter is still the leader of this term. */
   public isActive(): boolean {
     return this.active;
   }
 
-  /** Until when, on this voter's clock, no other leader can have been elected. */
+  /** The end of the lease on this voter's clock; before it no other leader can be elected. */
   public getLeaseEnd(): number {
     return this.getMajorityAckedAt() + this.voter.options.timings.leaseMs;
   }
 
-  /** Whether the lease holds for at least `ms` more. */
+  /** Whether the lease is valid for at least another `ms` milliseconds. */
   public isLeaseHeld(ms = 0): boolean {
     return this.active && this.voter.options.clock.now() + ms < this.getLeaseEnd();
   }
 
-  /** Whether everything of earlier terms is applied here, which a new leader can't tell at once. */
+  /**
+   * Whether an entry of this term is committed. Only then does a new leader know that it has applied all entries
+   * committed in earlier terms.
+   */
   public hasCommittedInTerm(): boolean {
     return this.voter.entries.findTerm(this.voter.commitIndex) === this.term;
   }
 
-  /** Puts a command into the log and resolves with its result once a majority holds it. */
+  /** Appends a command to the log and resolves with its result once it is committed and applied. */
   public async propose(data: unknown): Promise<{ index: number; result: unknown }> {
     if (!this.active) {
       throw createNotLeader();
     }
     const entry = this.append('command', data);
-    const result = await this.await(entry);
+    const result = await this.awaitOutcome(entry);
     return { index: entry.index, result };
   }
 
-  /** Resolves once everything that was accepted before this call is applied here and we still lead. */
+  /** Resolves once leadership is confirmed by a majority and all entries appended before the call are applied here. */
   public async barrier(): Promise<void> {
     const askedAt = this.voter.options.clock.now();
     const target = this.voter.entries.lastIndex;
@@ -96,33 +108,37 @@
     throw createNotLeader();
   }
 
-  /** Changes the voters as planned upon those of the moment; newcomers must be up and catch up first. */
-  public changeVoters(getNext: seatChanges.GetNextVoters): Promise<void> {
-    return this.seatChange.change(getNext);
+  /**
+   * Changes the voter set to what `getNext` computes from the current one; new voters must respond and catch up first.
+   */
+  public changeVoters(getNext: membershipChanges.GetNextVoters): Promise<void> {
+    return this.membershipChange.change(getNext);
   }
 
-  /** Seats a voter; an older folder of the same daemon loses its seat by that. */
-  public addVoter(seat: types.VoterSlot): Promise<void> {
-    return this.seatChange.change((seats) =>
-      seats.some((other) => other.voterId === seat.voterId)
+  /** Adds a voter, replacing the slot of an older data directory of the same host. */
+  public addVoter(slot: types.VoterSlot): Promise<void> {
+    return this.membershipChange.change((slots) =>
+      slots.some((other) => other.voterId === slot.voterId)
         ? undefined
-        : [...seats.filter((other) => other.daemonId !== seat.daemonId), seat],
+        : [...slots.filter((other) => other.daemonId !== slot.daemonId), slot],
     );
   }
 
-  /** Takes a voter's seat away. */
+  /** Removes a voter. */
   public removeVoter(daemonId: string): Promise<void> {
-    return this.seatChange.change((seats) => seats.filter((seat) => seat.daemonId !== daemonId));
+    return this.membershipChange.change((slots) =>
+      slots.filter((slot) => slot.daemonId !== daemonId),
+    );
   }
 
-  /** Puts who votes into the log. */
-  public appendVoterSet(seating: types.VoterSet): types.Entry {
-    const entry = this.append('voters', seating);
+  /** Appends a voter set to the log and replicates to its voters from then on. */
+  public appendVoterSet(voterSet: types.VoterSet): types.Entry {
+    const entry = this.append('voters', voterSet);
     this.syncPeers();
     return entry;
   }
 
-  /** Resolves once a majority holds everything up to an index. */
+  /** Resolves once all entries up to an index are committed. */
   public async awaitCommitted(index: number): Promise<void> {
     while (this.voter.commitIndex < index) {
       if (!this.active) {
@@ -132,47 +148,51 @@
     }
   }
 
-  /** Replicates to a host, also to one that has no seat yet. */
-  public startPeer(seat: types.VoterSlot): replicators.Replicator {
-    const known = this.peers.get(seat.voterId);
-    if (known?.isRunning() === true && !known.isRetiring()) {
-      return known;
+  /** Starts the replication to a host, which may not be a voter yet, unless it is running already. */
+  public startPeer(slot: types.VoterSlot): replicators.Replicator {
+    const running = this.peers.get(slot.voterId);
+    if (running?.isRunning() === true && !running.isRetiring()) {
+      return running;
     }
-    known?.stop();
-    const peer = new replicators.Replicator(seat, this);
-    this.peers.set(seat.voterId, peer);
+    running?.stop();
+    const peer = new replicators.Replicator(slot, this);
+    this.peers.set(slot.voterId, peer);
     void peer.run();
     return peer;
   }
 
-  /** Replicates no more to hosts that have no seat. */
+  /** Stops the replication to hosts without a voter slot, after a delay. */
   public dropLearners(): void {
     const voters = this.voter.entries.getVoters();
     [...this.peers.values()]
-      .filter((peer) => !voters.some((seat) => seat.voterId === peer.slot.voterId))
-      .forEach((peer) => this.drop(peer));
+      .filter((peer) => !voters.some((slot) => slot.voterId === peer.slot.voterId))
+      .forEach((peer) => this.retirePeer(peer));
   }
 
-  /** Counts what a majority holds durably; only an entry of this term commits by counting. */
+  /**
+   * Advances the commit index to what a majority has on disk; only entries of this term commit by counting replicas.
+   */
   public advanceCommit(): void {
     const index = this.voter.entries
       .getQuorum()
-      .getReachedValue((seat) => (this.isOwn(seat) ? this.durableIndex : this.getMatch(seat)));
+      .getReachedValue((slot) => (this.isOwn(slot) ? this.durableIndex : this.getMatchIndex(slot)));
     if (
       this.active &&
       index > this.voter.commitIndex &&
       this.voter.entries.findTerm(index) === this.term
     ) {
       this.voter.commitTo(index);
-      this.waiting = this.waiting.filter((item) => item.entry.index > this.voter.commitIndex);
+      this.pendingProposals = this.pendingProposals.filter(
+        (item) => item.entry.index > this.voter.commitIndex,
+      );
       this.appended.notify();
-      this.retireIfUnseated();
+      this.stepDownIfRemoved();
     } else {
       this.voter.changed.notify();
     }
   }
 
-  /** How far each voter is, for operators. */
+  /** The replication progress of each peer, for operators. */
   public listPeers(): { daemonId: string; match: number; silentMs: number }[] {
     const now = this.voter.options.clock.now();
     const running = [...this.peers.values()].filter((peer) => !peer.isRetiring());
@@ -183,39 +203,39 @@
     }));
   }
 
-  /** For how long a voter has not held everything that was committed, in milliseconds. */
-  public getLagMs(seat: types.VoterSlot): number {
-    const since = this.peers.get(seat.voterId)?.caughtUpAt ?? -Infinity;
+  /** How long a voter has lacked entries that were committed, in milliseconds. */
+  public getLagMs(slot: types.VoterSlot): number {
+    const since = this.peers.get(slot.voterId)?.caughtUpAt ?? -Infinity;
     const now = this.voter.options.clock.now();
-    return this.isOwn(seat) ? 0 : now - Math.max(since, this.startedAt);
+    return this.isOwn(slot) ? 0 : now - Math.max(since, this.startedAt);
   }
 
-  /** Whether a voter has held all that was committed since this leadership began. */
-  public hasCaughtUp(seat: types.VoterSlot): boolean {
-    return this.isOwn(seat) || (this.peers.get(seat.voterId)?.caughtUpAt ?? -Infinity) > -Infinity;
+  /** Whether a voter has had all committed entries at some time in this leadership. */
+  public hasCaughtUp(slot: types.VoterSlot): boolean {
+    return this.isOwn(slot) || (this.peers.get(slot.voterId)?.caughtUpAt ?? -Infinity) > -Infinity;
   }
 
-  /** The voters that do not answer, or hold nothing new. */
+  /** The voters that don't respond or don't keep up with the committed entries. */
   public listLaggingVoters(): types.VoterSlot[] {
-    return this.voter.entries.getVoters().filter((seat) => !this.isHeard(seat));
+    return this.voter.entries.getVoters().filter((slot) => !this.isCaughtUp(slot));
   }
 
-  /** How many more voters may be lost before the log stands still. */
+  /** How many more voters may fail before the log becomes unavailable. */
   public countTolerableLosses(): number {
-    return this.voter.entries.getQuorum().countTolerableLosses((seat) => this.isHeard(seat));
+    return this.voter.entries.getQuorum().countTolerableLosses((slot) => this.isCaughtUp(slot));
   }
 
-  private isHeard(seat: types.VoterSlot): boolean {
-    return this.getLagMs(seat) <= SILENT_ELECTIONS * this.voter.options.timings.electionMs;
+  private isCaughtUp(slot: types.VoterSlot): boolean {
+    return this.getLagMs(slot) <= MAX_LAG_ELECTIONS * this.voter.options.timings.electionMs;
   }
 
-  private isOwn(seat: types.VoterSlot): boolean {
-    return seat.voterId === this.voter.voterId;
+  private isOwn(slot: types.VoterSlot): boolean {
+    return slot.voterId === this.voter.voterId;
   }
 
-  private async finishSeatChange(): Promise<void> {
+  private async finishMembershipChange(): Promise<void> {
     try {
-      await this.seatChange.finish();
+      await this.membershipChange.finish();
     } catch (err) {
       const { message } = schemas.toError(err);
       this.voter.options.log.warn({ event: 'seat-change-unfinished', err: message });
@@ -238,12 +258,12 @@
     return entry;
   }
 
-  private await(entry: types.Entry): Promise<unknown> {
+  private awaitOutcome(entry: types.Entry): Promise<unknown> {
     return new Promise((resolve, reject) => {
-      this.waiting.push({ entry, reject });
+      this.pendingProposals.push({ entry, reject });
       void this.voter.awaitResult(entry.index).then((result) => {
-        const stillOurs = this.voter.entries.findTerm(entry.index);
-        if (stillOurs === undefined || stillOurs === entry.term) {
+        const currentTerm = this.voter.entries.findTerm(entry.index);
+        if (currentTerm === undefined || currentTerm === entry.term) {
           resolve(result);
         } else {
           reject(createNotLeader());
@@ -253,12 +273,12 @@
   }
 
   private syncPeers(): void {
-    const others = this.voter.entries.getVoters().filter((seat) => !this.isOwn(seat));
-    others.forEach((seat) => this.startPeer(seat));
+    const others = this.voter.entries.getVoters().filter((slot) => !this.isOwn(slot));
+    others.forEach((slot) => this.startPeer(slot));
     this.dropLearners();
   }
 
-  private drop(peer: replicators.Replicator): void {
+  private retirePeer(peer: replicators.Replicator): void {
     if (!peer.isRunning()) {
       this.peers.delete(peer.slot.voterId);
       return;
@@ -266,26 +286,26 @@
     peer.retire(RETIRE_ELECTIONS * this.voter.options.timings.electionMs);
   }
 
-  private getMatch(seat: types.VoterSlot): number {
-    return this.peers.get(seat.voterId)?.matchIndex ?? 0;
+  private getMatchIndex(slot: types.VoterSlot): number {
+    return this.peers.get(slot.voterId)?.matchIndex ?? 0;
   }
 
   private getMajorityAckedAt(): number {
     const now = this.voter.options.clock.now();
     return this.voter.entries
       .getQuorum()
-      .getReachedValue((seat) =>
-        this.isOwn(seat) ? now : (this.peers.get(seat.voterId)?.ackedAt ?? -Infinity),
+      .getReachedValue((slot) =>
+        this.isOwn(slot) ? now : (this.peers.get(slot.voterId)?.ackedAt ?? -Infinity),
       );
   }
 
-  /** A leader that a majority no longer answers steps down, so that its callers look for the new one. */
-  private async watchQuorum(): Promise<void> {
+  /** Steps down when a majority no longer responds, so that clients look for the new leader. */
+  private async monitorQuorum(): Promise<void> {
     const { clock, timings } = this.voter.options;
     while (this.active) {
       await clock.sleep(timings.electionMs / 2);
-      const silentMs = clock.now() - Math.max(this.getMajorityAckedAt(), this.startedAt);
-      if (this.active && silentMs > 2 * timings.electionMs) {
+      const sinceAckMs = clock.now() - Math.max(this.getMajorityAckedAt(), this.startedAt);
+      if (this.active && sinceAckMs > 2 * timings.electionMs) {
         this.voter.leadership = undefined;
         this.voter.leader = undefined;
         this.stop('no majority answers');
@@ -294,7 +314,7 @@
     }
   }
 
-  private retireIfUnseated(): void {
+  private stepDownIfRemoved(): void {
     if (this.active && !this.voter.hasSlot()) {
       this.voter.leadership = undefined;
       this.stop('seat was taken away');
--- a/packages/consensus/src/membership-change.ts
+++ b/packages/consensus/src/membership-change.ts
@@ -4,39 +4,46 @@
 import type * as types from './types.js';
 import type * as voters from './voter.js';
 
-/** How long a newcomer may be silent before it is given up for now, in election timeouts; a lost message costs a quarter. */
-const SILENT_ELECTIONS = 2;
+/**
+ * How long a new voter may be unresponsive before the change is abandoned, in election timeouts. One lost message takes
+ * up a quarter of this time.
+ */
+const UNRESPONSIVE_ELECTIONS = 2;
 
-/** How long a newcomer that answers may take to hold the log, in election timeouts: 6 s for a snapshot over a slow link. */
+/**
+ * How long a responsive new voter may take to catch up, in election timeouts: 6 s, enough for a snapshot over a slow
+ * link.
+ */
 const CATCH_UP_ELECTIONS = 10;
 
-/** What a change of seats needs of the leadership under which it is made. */
+/** The operations of the leader that a membership change uses. */
 export interface MembershipLog {
   readonly voter: voters.Voter;
   readonly heartbeatMs: number;
   isActive(): boolean;
-  /** Resolves once everything before is applied here and this voter still leads. */
+  /** Resolves once leadership is confirmed and all entries appended before the call are applied here. */
   barrier(): Promise<void>;
-  /** Puts who votes into the log, in force from then on, and replicates to everyone who does. */
-  appendVoterSet(seating: types.VoterSet): types.Entry;
+  /** Appends a voter set, which is effective at once, and replicates to all its voters. */
+  appendVoterSet(voterSet: types.VoterSet): types.Entry;
   awaitCommitted(index: number): Promise<void>;
-  /** Replicates to a host that has no seat yet. */
-  startPeer(seat: types.VoterSlot): replicators.Replicator;
-  /** Replicates no more to hosts that have no seat. */
+  /** Starts the replication to a host, which may not be a voter yet. */
+  startPeer(slot: types.VoterSlot): replicators.Replicator;
+  /** Stops the replication to hosts without a voter slot. */
   dropLearners(): void;
 }
 
-/** Who should vote, given who does; nothing for no change. */
+/** Computes the next voters from the current ones; `undefined` for no change. */
 export type GetNextVoters = (
-  seats: readonly types.VoterSlot[],
+  slots: readonly types.VoterSlot[],
 ) => readonly types.VoterSlot[] | undefined;
 
 /**
- * Changes who votes, in two entries: from the first on the former and the next voters must both agree, each by a
- * majority of their own, from the second on the next alone. One entry more or less at a time would do too, but on its
- * way from three seats to three there are four, one of them dead, and the loss of the newcomer stops a log that did
- * without it before. Here a change never needs a voter that was not needed before or will be after it: of losses that are
- * borne before and after it, placed at every millisecond of it, none stops the log.
+ * Changes the voters by joint consensus, in two entries: after the first, both the former and the next voters must
+ * agree, each by a majority of their own; after the second, the next voters alone. Adding and removing one voter at a
+ * time would be correct too, but replacing a dead voter of three would pass through a set of four that includes the
+ * dead one. The loss of the new voter would then stop the log, though it worked without that voter before. With joint
+ * consensus a change never depends on a voter that is needed neither before nor after it. No loss that is tolerated
+ * before and after a change stops the log during it, whenever it occurs.
  */
 export class MembershipChange {
   private tail: Promise<void> = Promise.resolve();
@@ -44,8 +51,8 @@
   public constructor(private readonly log: MembershipLog) {}
 
   /**
-   * Changes the voters to those that `getNext` names, or leaves them when it names none. Changes are made one after the
-   * other, and each is decided when its turn has come: a plan made upon seats that have changed since would undo that.
+   * Changes the voters to those that `getNext` returns, if any. Changes run one at a time, and `getNext` is called only
+   * when its change starts: a plan based on an outdated voter set would undo the changes made since.
    */
   public change(getNext: GetNextVoters): Promise<void> {
     return this.enqueue(async () => {
@@ -55,14 +62,16 @@
       if (next === undefined || isSameSet(seats, next)) {
         return;
       }
-      await this.bringUp(next.filter((seat) => !isIn(seats, seat)));
+      await this.catchUp(next.filter((slot) => !includesVoter(seats, slot)));
       await this.log.barrier();
       this.log.appendVoterSet({ seats: [...next], former: seats });
       await this.finishNow();
     });
   }
 
-  /** Finishes a change that an earlier leader began: half done it would need the majorities of both groups for ever. */
+  /**
+   * Finishes a change that an earlier leader started; unfinished, it would require majorities of both groups forever.
+   */
   public finish(): Promise<void> {
     return this.enqueue(() => this.finishNow());
   }
@@ -81,42 +90,46 @@
     }
     const index = entries.getLastVoterChangeIndex();
     await this.log.awaitCommitted(index);
-    const newcomers = seats.filter((seat) => !isIn(former, seat));
-    // A newcomer counts alone with the others only when its disk says that it is one. Else it would not know that it
-    // may vote, and if the leader went now, the others could not elect one with it.
-    const isHeld = await this.awaitAll(newcomers, (peer) => peer.matchIndex >= index);
-    const last = this.log.appendVoterSet({ seats: isHeld ? seats : former });
+    const newVoters = seats.filter((slot) => !includesVoter(former, slot));
+    // The next set takes effect alone only when the new voters have the joint entry on disk. A voter without it doesn't
+    // know that it may vote, and if the leader failed now, the others could not elect a new one with its vote.
+    const isReplicated = await this.awaitAll(newVoters, (peer) => peer.matchIndex >= index);
+    const last = this.log.appendVoterSet({ seats: isReplicated ? seats : former });
     await this.log.awaitCommitted(last.index);
-    if (!isHeld) {
-      throw this.createCatchUpError(newcomers);
+    if (!isReplicated) {
+      throw this.createCatchUpError(newVoters);
     }
   }
 
-  /** Replicates to newcomers until they hold everything that is committed. */
-  private async bringUp(newcomers: readonly types.VoterSlot[]): Promise<void> {
-    if (!(await this.awaitAll(newcomers, (peer) => peer.caughtUpAt > -Infinity))) {
+  /** Replicates to new voters until they have all committed entries. */
+  private async catchUp(newVoters: readonly types.VoterSlot[]): Promise<void> {
+    if (!(await this.awaitAll(newVoters, (peer) => peer.caughtUpAt > -Infinity))) {
       this.log.dropLearners();
-      throw this.createCatchUpError(newcomers);
+      throw this.createCatchUpError(newVoters);
     }
   }
 
-  /** Whether all of them get there; a newcomer that dies on the way must not hold up the seating of others for ever. */
+  /**
+   * Waits until all new voters satisfy a condition; `false` on a timeout, so that a failed host doesn't block further
+   * changes.
+   */
   private async awaitAll(
-    newcomers: readonly types.VoterSlot[],
-    isThere: (peer: replicators.Replicator) => boolean,
+    newVoters: readonly types.VoterSlot[],
+    isDone: (peer: replicators.Replicator) => boolean,
   ): Promise<boolean> {
     const { clock, timings } = this.log.voter.options;
     const startedAt = clock.now();
-    const peers = newcomers.map((seat) => this.log.startPeer(seat));
-    while (!peers.every(isThere)) {
+    const peers = newVoters.map((slot) => this.log.startPeer(slot));
+    while (!peers.every(isDone)) {
       if (!this.log.isActive()) {
         throw new schemas.StepError({ id: 'notLeader', step: 'change-seats' });
       }
       const now = clock.now();
-      const isSilent = peers.some(
-        (peer) => now - Math.max(peer.ackedAt, startedAt) > SILENT_ELECTIONS * timings.electionMs,
+      const isUnresponsive = peers.some(
+        (peer) =>
+          now - Math.max(peer.ackedAt, startedAt) > UNRESPONSIVE_ELECTIONS * timings.electionMs,
       );
-      if (isSilent || now - startedAt > CATCH_UP_ELECTIONS * timings.electionMs) {
+      if (isUnresponsive || now - startedAt > CATCH_UP_ELECTIONS * timings.electionMs) {
         return false;
       }
       await this.log.voter.changed.wait(clock, this.log.heartbeatMs);
@@ -124,16 +137,16 @@
     return true;
   }
 
-  private createCatchUpError(newcomers: readonly types.VoterSlot[]): schemas.StepError {
-    const peer = newcomers.map((seat) => seat.daemonId).join();
+  private createCatchUpError(newVoters: readonly types.VoterSlot[]): schemas.StepError {
+    const peer = newVoters.map((slot) => slot.daemonId).join();
     return new schemas.StepError({ id: 'linkClosed', step: 'catch-up', peer });
   }
 }
 
-function isIn(seats: readonly types.VoterSlot[], { voterId }: types.VoterSlot): boolean {
-  return seats.some((seat) => seat.voterId === voterId);
+function includesVoter(slots: readonly types.VoterSlot[], { voterId }: types.VoterSlot): boolean {
+  return slots.some((slot) => slot.voterId === voterId);
 }
 
 function isSameSet(some: readonly types.VoterSlot[], others: readonly types.VoterSlot[]): boolean {
-  return some.length === others.length && some.every((seat) => isIn(others, seat));
+  return some.length === others.length && some.every((slot) => includesVoter(others, slot));
 }
--- a/packages/consensus/src/plan-voter-slots.ts
+++ b/packages/consensus/src/plan-voter-slots.ts
@@ -1,125 +1,133 @@
 import type * as types from './types.js';
 
-/** A host that could hold a seat, as the leader hears of it. */
+/** A host that could get a voter slot, as reported to the leader. */
 export interface VoterSlotCandidate extends types.VoterSlot {
-  /** How long ago it was last heard, in milliseconds. */
+  /** Time since its last report, in milliseconds. */
   readonly silentMs: number;
   readonly availabilityZone?: string | undefined;
-  /** Whether it says that it is about to stop. */
+  /** Whether it has reported that it is shutting down. */
   readonly isLeaving?: boolean | undefined;
 }
 
-/** A seat, with how its holder does. */
+/** A voter slot, with the state of its holder. */
 export interface OccupiedVoterSlot extends types.VoterSlot {
-  /** For how long it has not held everything that was committed, in milliseconds. */
+  /** How long the holder has lacked entries that were committed, in milliseconds. */
   readonly silentMs: number;
 }
 
-/** What is known when the seats are looked over. */
+/** Input of `planVoterSlots`. */
 export interface VoterSlotPlanInput {
   readonly slots: readonly OccupiedVoterSlot[];
-  /** Every host with a disk that was ever heard, the leader's own included. */
+  /** All hosts with a disk that have ever reported, including the leader's own. */
   readonly candidates: readonly VoterSlotCandidate[];
-  /** How many seats there should be: twice the losses to be borne, and one. */
+  /** The desired number of slots: `2 * f + 1` to tolerate `f` losses. */
   readonly slotCount: number;
-  /** How long a holder may be silent before another takes its seat, in milliseconds. */
+  /** How long a holder may lag before another host gets its slot, in milliseconds. */
   readonly replaceAfterMs: number;
-  /** Within which a host counts as live, in milliseconds. */
+  /** Maximum time since the last report of a host that counts as live, in milliseconds. */
   readonly liveMs: number;
 }
 
 /**
- * Who should hold the seats; nothing when those that do should go on. A holder that is silent or leaves is a loss until
- * another has its seat, and so is one that came back with an empty disk, a stranger under its old name. No more seats
- * than the losses to be borne lie in one availability zone while there are hosts elsewhere, so that a lost zone is
- * borne too.
+ * Plans which hosts hold the voter slots; `undefined` if nothing changes. A holder that is unresponsive, that shuts
+ * down, or that came back with an empty disk (same name, different id) counts as a loss until its slot is reassigned.
+ * One availability zone gets no more slots than the losses to tolerate while there are hosts in other zones, so that
+ * the loss of a zone is tolerated too.
  */
-export function planVoterSlots(facts: VoterSlotPlanInput): readonly types.VoterSlot[] | undefined {
-  const plan = new SeatPlan(facts);
+export function planVoterSlots(input: VoterSlotPlanInput): readonly types.VoterSlot[] | undefined {
+  const plan = new VoterSlotPlanner(input);
   const next = plan.choose();
   const isSame =
-    next.length === facts.slots.length &&
-    next.every((seat) => facts.slots.some((other) => other.voterId === seat.voterId));
+    next.length === input.slots.length &&
+    next.every((slot) => input.slots.some((other) => other.voterId === slot.voterId));
   return isSame ? undefined : next.map(({ daemonId, voterId }) => ({ daemonId, voterId }));
 }
 
-class SeatPlan {
+class VoterSlotPlanner {
   private readonly chosen: types.VoterSlot[] = [];
   private readonly spares: readonly VoterSlotCandidate[];
-  private readonly staying: readonly OccupiedVoterSlot[];
-  /** Holders that may come back, the last heard first: better than an empty seat, worse than a live host. */
-  private readonly away: readonly OccupiedVoterSlot[];
+  private readonly retained: readonly OccupiedVoterSlot[];
+  /**
+   * Holders that may come back, the most recently up to date first: preferred to an empty slot, but not to a live host.
+   */
+  private readonly unavailable: readonly OccupiedVoterSlot[];
 
-  public constructor(private readonly facts: VoterSlotPlanInput) {
-    const { slots: seats } = facts;
+  public constructor(private readonly input: VoterSlotPlanInput) {
+    const { slots } = input;
     this.spares = this.listSpares();
-    // A folder that was lost does not come back, so its seat is not kept for it.
-    const kept = seats.filter(({ daemonId }) => !this.isRemade(daemonId));
-    this.staying = kept.filter((seat) => !this.isAway(seat));
-    this.away = kept.filter((seat) => this.isAway(seat)).sort((a, b) => a.silentMs - b.silentMs);
+    // A lost data directory does not come back, so its slot is not retained.
+    const kept = slots.filter(({ daemonId }) => !this.wasRecreated(daemonId));
+    this.retained = kept.filter((slot) => !this.isUnavailable(slot));
+    this.unavailable = kept
+      .filter((slot) => this.isUnavailable(slot))
+      .sort((a, b) => a.silentMs - b.silentMs);
   }
 
   public choose(): readonly types.VoterSlot[] {
-    const { facts, spares, staying } = this;
-    const perZone = Math.floor(facts.slotCount / 2);
-    this.take(staying, perZone);
-    this.take(spares, perZone);
-    this.take(staying, Infinity);
-    this.take(spares, Infinity);
-    this.take(this.away, Infinity);
+    const { input, spares, retained } = this;
+    const perZone = Math.floor(input.slotCount / 2);
+    this.add(retained, perZone);
+    this.add(spares, perZone);
+    this.add(retained, Infinity);
+    this.add(spares, Infinity);
+    this.add(this.unavailable, Infinity);
     this.makeOdd();
     return this.chosen;
   }
 
-  /** Takes whoever is not chosen yet, as long as there are seats and no zone has more than it should. */
-  private take(hosts: readonly types.VoterSlot[], perZone: number): void {
+  /** Adds hosts that are not chosen yet, up to the number of slots and the limit per zone. */
+  private add(hosts: readonly types.VoterSlot[], perZone: number): void {
     hosts.forEach((host) => {
-      const isFull = this.chosen.length >= this.facts.slotCount;
-      if (!isFull && !this.chosen.includes(host) && this.countIn(host) < perZone) {
+      const isFull = this.chosen.length >= this.input.slotCount;
+      if (!isFull && !this.chosen.includes(host) && this.countInZone(host) < perZone) {
         this.chosen.push(host);
       }
     });
   }
 
   /**
-   * An even number bears no more losses than the odd one below it, and needs one vote more. So a seat that would be
-   * kept for a host that is away, or given to one that is not needed for more, is left out.
+   * Makes the number of voters odd: an even number tolerates no more losses than the odd number below it and needs one
+   * vote more. So a last slot that would be kept for an unavailable host or given to a spare one is dropped.
    */
   private makeOdd(): void {
     const last = this.chosen.at(-1);
     if (
       this.chosen.length % 2 === 0 &&
       last !== undefined &&
-      !this.staying.some((s) => s === last)
+      !this.retained.some((s) => s === last)
     ) {
       this.chosen.pop();
     }
   }
 
-  private countIn(host: types.VoterSlot): number {
+  private countInZone(host: types.VoterSlot): number {
     const zone = this.findZone(host);
     const inZone = this.chosen.filter((other) => this.findZone(other) === zone);
     return zone === undefined ? 0 : inZone.length;
   }
 
-  /** Live hosts without a seat; those that came back with an empty disk first, whose former seat is lost for sure. */
+  /**
+   * Live hosts without a slot. Hosts that came back with an empty disk come first, since their former slot is certainly
+   * lost.
+   */
   private listSpares(): VoterSlotCandidate[] {
-    const { candidates, liveMs, slots: seats } = this.facts;
-    const isSeated = (host: types.VoterSlot) => seats.some((seat) => seat.voterId === host.voterId);
+    const { candidates, liveMs, slots } = this.input;
+    const holdsSlot = (host: types.VoterSlot) =>
+      slots.some((slot) => slot.voterId === host.voterId);
     const spares = candidates.filter(
-      (host) => host.silentMs <= liveMs && host.isLeaving !== true && !isSeated(host),
+      (host) => host.silentMs <= liveMs && host.isLeaving !== true && !holdsSlot(host),
     );
-    const hadSeat = (host: types.VoterSlot) =>
-      Number(seats.some((seat) => seat.daemonId === host.daemonId));
-    return spares.sort((a, b) => hadSeat(b) - hadSeat(a));
+    const hadSlot = (host: types.VoterSlot) =>
+      Number(slots.some((slot) => slot.daemonId === host.daemonId));
+    return spares.sort((a, b) => hadSlot(b) - hadSlot(a));
   }
 
-  private isRemade(daemonId: string): boolean {
+  private wasRecreated(daemonId: string): boolean {
     return this.spares.some((host) => host.daemonId === daemonId);
   }
 
-  private isAway(seat: OccupiedVoterSlot): boolean {
-    return seat.silentMs > this.facts.replaceAfterMs || this.findHost(seat)?.isLeaving === true;
+  private isUnavailable(slot: OccupiedVoterSlot): boolean {
+    return slot.silentMs > this.input.replaceAfterMs || this.findHost(slot)?.isLeaving === true;
   }
 
   private findZone(host: types.VoterSlot): string | undefined {
@@ -127,6 +135,6 @@
   }
 
   private findHost({ voterId }: types.VoterSlot): VoterSlotCandidate | undefined {
-    return this.facts.candidates.find((host) => host.voterId === voterId);
+    return this.input.candidates.find((host) => host.voterId === voterId);
   }
 }
--- a/packages/consensus/src/quorum.ts
+++ b/packages/consensus/src/quorum.ts
@@ -1,6 +1,6 @@
 import type * as types from './types.js';
 
-/** Counts votes and acknowledgments by majorities: of one group of voters, or of two while seats change hands. */
+/** Evaluates majorities: of one group of voters, or of both groups during joint consensus. */
 export class Quorum {
   private readonly groups: readonly (readonly types.VoterSlot[])[];
 
@@ -8,18 +8,18 @@
     this.groups = former === undefined ? [seats] : [seats, former];
   }
 
-  /** Everyone who votes, each once. */
+  /** All voters of both groups, without duplicates. */
   public listVoters(): types.VoterSlot[] {
     const byId = new Map(this.groups.flat().map((seat) => [seat.voterId, seat]));
     return [...byId.values()];
   }
 
-  /** Whether a majority of each group is for it. */
-  public isReached(isFor: (seat: types.VoterSlot) => boolean): boolean {
-    return this.groups.every((group) => group.filter(isFor).length >= getMajority(group));
+  /** Whether a majority of each group satisfies a predicate. */
+  public isReached(predicate: (seat: types.VoterSlot) => boolean): boolean {
+    return this.groups.every((group) => group.filter(predicate).length >= getMajority(group));
   }
 
-  /** The highest value that a majority of each group has reached. */
+  /** The highest value that a majority of each group has reached or exceeded. */
   public getReachedValue(getValue: (seat: types.VoterSlot) => number): number {
     const reached = this.groups.map((group) => {
       const values = group.map(getValue).sort((a, b) => b - a);
@@ -28,10 +28,12 @@
     return Math.min(...reached);
   }
 
-  /** How many voters may still be lost, whichever they are, before no majority is left; below 0 when none is. */
-  public countTolerableLosses(isHeard: (seat: types.VoterSlot) => boolean): number {
-    const rest = this.groups.map((group) => group.filter(isHeard).length - getMajority(group));
-    return Math.min(...rest);
+  /** How many more voters may fail, whichever they are, without losing a majority; negative if it is already lost. */
+  public countTolerableLosses(isAvailable: (seat: types.VoterSlot) => boolean): number {
+    const margins = this.groups.map(
+      (group) => group.filter(isAvailable).length - getMajority(group),
+    );
+    return Math.min(...margins);
   }
 }
 
--- a/packages/consensus/src/replicator.ts
+++ b/packages/consensus/src/replicator.ts
@@ -1,17 +1,21 @@
 import type * as leaderships from './leadership.js';
 import type * as types from './types.js';
 
-/** The most entries in one message. */
+/** Maximum number of entries in one append request. */
 const MAX_ENTRIES = 256;
 
-/** The leader's task for one other voter: brings it up to the leader's log and keeps it there. */
+/** Replicates the leader's log to one other host. */
 export class Replicator {
+  /** The highest index that is durable on the host. */
   public matchIndex = 0;
-  /** When the last message that was answered had been sent, on the leader's clock. */
+  /** When the last acknowledged request was sent, on the leader's clock. */
   public ackedAt = -Infinity;
-  /** When a message was sent upon which it held everything that was committed then, on the leader's clock. */
+  /**
+   * When the last request was sent after which the host had everything that was committed at that time, on the leader's
+   * clock.
+   */
   public caughtUpAt = -Infinity;
-  private next: number;
+  private nextIndex: number;
   private stopped = false;
   private retiresAt = Infinity;
 
@@ -19,17 +23,17 @@
     public readonly slot: types.VoterSlot,
     private readonly leadership: leaderships.Leadership,
   ) {
-    this.next = leadership.voter.entries.lastIndex + 1;
+    this.nextIndex = leadership.voter.entries.lastIndex + 1;
   }
 
-  /** Runs until stopped. */
+  /** Replicates until stopped or retired. */
   public async run(): Promise<void> {
     const { voter, heartbeatMs } = this.leadership;
     const { clock } = voter.options;
     while (!this.stopped && this.leadership.isActive() && clock.now() < this.retiresAt) {
-      const isReached = await this.exchange();
-      const isBehind = this.next <= voter.entries.lastIndex;
-      if (!isReached) {
+      const isAcknowledged = await this.exchange();
+      const isBehind = this.nextIndex <= voter.entries.lastIndex;
+      if (!isAcknowledged) {
         await clock.sleep(heartbeatMs).catch(() => {});
       } else if (!isBehind) {
         await this.leadership.appended.wait(clock, heartbeatMs);
@@ -37,22 +41,22 @@
     }
   }
 
-  /** Ends the task. */
+  /** Stops the replication. */
   public stop(): void {
     this.stopped = true;
   }
 
-  /** Whether the task goes on. */
+  /** Whether the replication is neither stopped nor past its retirement. */
   public isRunning(): boolean {
     return !this.stopped && this.leadership.voter.options.clock.now() < this.retiresAt;
   }
 
-  /** Whether it only goes on for a little. */
+  /** Whether the replication is retired, so that it ends soon. */
   public isRetiring(): boolean {
     return this.retiresAt < Infinity;
   }
 
-  /** Ends the task a little later, so that a host whose seat was taken away hears of it and does not stand for election. */
+  /** Stops the replication after a delay, so that a removed voter receives its removal and starts no elections. */
   public retire(afterMs: number): void {
     this.retiresAt = Math.min(this.retiresAt, this.leadership.voter.options.clock.now() + afterMs);
   }
@@ -60,14 +64,14 @@
   private async exchange(): Promise<boolean> {
     const { voter } = this.leadership;
     const sentAt = voter.options.clock.now();
-    const committed = voter.commitIndex;
+    const commitIndexAtSend = voter.commitIndex;
     try {
       const res = await this.send();
       if (res.term > voter.term) {
         await voter.adoptTerm(res.term, null);
         return false;
       }
-      return this.take(res, sentAt, committed);
+      return this.handleResponse(res, sentAt, commitIndexAtSend);
     } catch {
       return false;
     }
@@ -76,7 +80,7 @@
   private send(): Promise<types.AppendRes> {
     const { voter, term } = this.leadership;
     const { transport } = voter.options;
-    const prevIndex = this.next - 1;
+    const prevIndex = this.nextIndex - 1;
     const prevTerm = voter.entries.findTerm(prevIndex);
     if (prevTerm === undefined || prevIndex < voter.entries.baseIndex) {
       return transport.snapshot(this.slot.daemonId, this.createSnapshotReq());
@@ -86,7 +90,7 @@
       leader: voter.daemonId,
       prevIndex,
       prevTerm,
-      entries: voter.entries.slice(this.next, MAX_ENTRIES),
+      entries: voter.entries.slice(this.nextIndex, MAX_ENTRIES),
       commit: voter.commitIndex,
     });
   }
@@ -94,34 +98,34 @@
   private createSnapshotReq(): types.SnapshotReq {
     const { voter, term } = this.leadership;
     const lastIndex = voter.appliedIndex;
-    const seating = voter.entries.getVoterSetAt(lastIndex);
+    const voterSet = voter.entries.getVoterSetAt(lastIndex);
     return {
       term,
       leader: voter.daemonId,
       lastIndex,
       lastTerm: voter.entries.findTerm(lastIndex) ?? 0,
-      voters: seating.seats,
-      formerVoters: seating.former,
+      voters: voterSet.seats,
+      formerVoters: voterSet.former,
       state: structuredClone(voter.options.machine.getSnapshot()),
     };
   }
 
-  private take(res: types.AppendRes, sentAt: number, committed: number): boolean {
-    // A daemon that lost its disk answers at the old address with another number. What the old folder
-    // promised is gone, so the answer must not count towards a majority.
+  private handleResponse(res: types.AppendRes, sentAt: number, commitIndexAtSend: number): boolean {
+    // A host that lost its disk answers at the same address with a different id. The entries that its old data
+    // directory acknowledged are gone, so this response must not count towards a majority.
     if (res.voterId !== this.slot.voterId) {
       return false;
     }
     this.ackedAt = Math.max(this.ackedAt, sentAt);
     if (res.ok) {
       this.matchIndex = Math.max(this.matchIndex, res.match);
-      this.next = Math.max(this.next, res.match + 1);
-      // One that is several messages behind answers too, but does not hold everything yet.
+      this.nextIndex = Math.max(this.nextIndex, res.match + 1);
+      // A host that is several requests behind succeeds too, but does not have all committed entries yet.
       this.caughtUpAt =
-        res.match >= committed ? Math.max(this.caughtUpAt, sentAt) : this.caughtUpAt;
+        res.match >= commitIndexAtSend ? Math.max(this.caughtUpAt, sentAt) : this.caughtUpAt;
       this.leadership.advanceCommit();
     } else {
-      this.next = Math.max(1, res.hint + 1);
+      this.nextIndex = Math.max(1, res.hint + 1);
     }
     return true;
   }
--- a/packages/consensus/src/run-elections.ts
+++ b/packages/consensus/src/run-elections.ts
@@ -1,70 +1,73 @@
 import type * as types from './types.js';
 import type * as voters from './voter.js';
 
-/** How often a voter says that no majority of the seats answers, in milliseconds; once at each try would fill the log. */
-const NO_MAJORITY_LOG_MS = 5_000;
+/**
+ * Minimum time between two `no-majority` log lines, in milliseconds; one line for each failed election would flood the
+ * log.
+ */
+const NO_MAJORITY_LOG_INTERVAL_MS = 5_000;
 
-/** What became of asking for votes. */
-interface Poll {
-  readonly isWon: boolean;
-  /** Who had given a vote when it was decided, by the number of the folder, this voter included. */
+/** The result of a vote request to all voters. */
+interface VoteTally {
+  readonly hasMajority: boolean;
+  /** Voter ids that had granted their vote when the result was decided, including this voter's own. */
   readonly granted: ReadonlySet<string>;
 }
 
-/** One task for the life of a voter: waits for the leader to fall silent, then stands for election. */
+/** Runs until the voter stops: waits for the leader to time out, then starts an election. */
 export async function runElections(voter: voters.Voter, signal: AbortSignal): Promise<void> {
   const { clock, random, timings } = voter.options;
-  let toldAt = -Infinity;
+  let lastLoggedAt = -Infinity;
   while (!voter.stopped && !signal.aborted) {
-    // Random timeouts keep two voters from standing against each other again and again.
+    // Randomized timeouts prevent repeated split votes.
     const timeoutMs = voter.getLeaderTimeoutMs() * (1 + random());
-    const silentMs = clock.now() - voter.lastLeaderContactAt;
-    if (voter.isLeader() || !voter.hasSlot() || silentMs < timeoutMs) {
-      const restMs = voter.isLeader() ? timings.electionMs : timeoutMs - silentMs;
-      await clock.sleep(Math.max(restMs, timings.electionMs / 10), signal).catch(() => {});
+    const sinceContactMs = clock.now() - voter.lastLeaderContactAt;
+    if (voter.isLeader() || !voter.hasSlot() || sinceContactMs < timeoutMs) {
+      const waitMs = voter.isLeader() ? timings.electionMs : timeoutMs - sinceContactMs;
+      await clock.sleep(Math.max(waitMs, timings.electionMs / 10), signal).catch(() => {});
       continue;
     }
-    const poll = await stand(voter);
-    if (!poll.isWon && clock.now() - toldAt > NO_MAJORITY_LOG_MS) {
-      toldAt = clock.now();
-      noteNoMajority(voter, poll);
+    const tally = await runElection(voter);
+    if (!tally.hasMajority && clock.now() - lastLoggedAt > NO_MAJORITY_LOG_INTERVAL_MS) {
+      lastLoggedAt = clock.now();
+      logNoMajority(voter, tally);
     }
-    // After a lost election the others get their turn first.
-    const pauseMs = timings.electionMs * (0.1 + random() / 2);
-    await clock.sleep(pauseMs, signal).catch(() => {});
+    // Back off so that another voter can start the next election first.
+    const backoffMs = timings.electionMs * (0.1 + random() / 2);
+    await clock.sleep(backoffMs, signal).catch(() => {});
   }
 }
 
-/** A log without a majority stays so until somebody acts; no other line would say it. */
-function noteNoMajority(voter: voters.Voter, { granted }: Poll): void {
-  const seats = voter.entries.getVoters();
+/** Logs a failed election. A lost majority may last until an operator acts, and no other log line reports it. */
+function logNoMajority(voter: voters.Voter, { granted }: VoteTally): void {
+  const slots = voter.entries.getVoters();
   const { term } = voter;
   voter.options.log.warn({
     event: 'no-majority',
     term,
-    seats: seats.map((seat) => seat.daemonId),
-    granted: seats.filter((seat) => granted.has(seat.voterId)).map((seat) => seat.daemonId),
+    seats: slots.map((slot) => slot.daemonId),
+    granted: slots.filter((slot) => granted.has(slot.voterId)).map((slot) => slot.daemonId),
   });
 }
 
-async function stand(voter: voters.Voter): Promise<Poll> {
+async function runElection(voter: voters.Voter): Promise<VoteTally> {
   const term = voter.term + 1;
-  // Without asking first, a voter behind a one-way partition would raise the term for ever
-  // and unseat a leader that the majority hears.
-  const foreseen = await collectVotes(voter, term, true);
-  if (!foreseen.isWon || voter.term + 1 !== term || voter.stopped) {
-    return foreseen;
+  // Without a pre-vote, a voter behind a one-way partition would keep raising the term
+  // and depose a leader that still reaches the majority.
+  const preVote = await collectVotes(voter, term, true);
+  if (!preVote.hasMajority || voter.term + 1 !== term || voter.stopped) {
+    return preVote;
   }
   await voter.adoptTerm(term, voter.voterId);
-  const poll = await collectVotes(voter, term, false);
-  if (poll.isWon && voter.term === term && !voter.stopped) {
+  const tally = await collectVotes(voter, term, false);
+  if (tally.hasMajority && voter.term === term && !voter.stopped) {
     voter.becomeLeader();
   }
-  return poll;
+  return tally;
 }
 
-/** Asks every other voter at once; resolves as soon as a majority is for it or it can't be any more. */
-function collectVotes(voter: voters.Voter, term: number, pre: boolean): Promise<Poll> {
+/** Requests a vote from all other voters in parallel; resolves once a majority is reached or out of reach. */
+function collectVotes(voter: voters.Voter, term: number, pre: boolean): Promise<VoteTally> {
   const quorum = voter.entries.getQuorum();
   const req: types.VoteReq = {
     pre,
@@ -76,37 +79,38 @@
   return new Promise((resolve) => {
     const granted = new Set([voter.voterId]);
     const refused = new Set<string>();
-    const close = () => {
-      const isWon = quorum.isReached((seat) => granted.has(seat.voterId));
-      if (isWon || !quorum.isReached((seat) => !refused.has(seat.voterId))) {
-        resolve({ isWon, granted });
+    const settle = () => {
+      const hasMajority = quorum.isReached((slot) => granted.has(slot.voterId));
+      if (hasMajority || !quorum.isReached((slot) => !refused.has(slot.voterId))) {
+        resolve({ hasMajority, granted });
       }
     };
-    close();
+    settle();
     quorum
       .listVoters()
-      .filter((seat) => seat.voterId !== voter.voterId)
-      .forEach((seat) => {
-        void askVote(voter, seat, req).then((isGranted) => {
-          (isGranted ? granted : refused).add(seat.voterId);
-          close();
+      .filter((slot) => slot.voterId !== voter.voterId)
+      .forEach((slot) => {
+        void requestVote(voter, slot, req).then((isGranted) => {
+          (isGranted ? granted : refused).add(slot.voterId);
+          settle();
         });
       });
   });
 }
 
-async function askVote(
+async function requestVote(
   voter: voters.Voter,
-  seat: types.VoterSlot,
+  slot: types.VoterSlot,
   req: types.VoteReq,
 ): Promise<boolean> {
   try {
-    const res = await voter.options.transport.vote(seat.daemonId, req);
+    const res = await voter.options.transport.vote(slot.daemonId, req);
     if (res.term > voter.term) {
       await voter.adoptTerm(res.term, null);
     }
-    // The answer counts for the folder that holds the seat, not for whoever now has its address.
-    return res.granted && res.voterId === seat.voterId;
+    // The response counts only if it comes from the data directory that holds the slot. A host that lost its disk
+    // answers at the same address with a different id.
+    return res.granted && res.voterId === slot.voterId;
   } catch {
     return false;
   }
--- a/packages/consensus/src/types.ts
+++ b/packages/consensus/src/types.ts
@@ -1,18 +1,18 @@
 import * as z from 'zod';
 
-/** A voter: the daemon, and the number that its data folder was given when it was made. */
+/** A voter: its host's name and the random id of its data directory. */
 export const voterSlot = z.object({ daemonId: z.string(), voterId: z.string() });
 
 /** A voter. */
 export type VoterSlot = z.infer<typeof voterSlot>;
 
-/** Who votes. While seats change hands the former voters must agree too, by a majority of their own. */
+/** The voter set. During a membership change `former` is set and a majority of it must agree too (joint consensus). */
 export const voterSet = z.object({
   seats: z.array(voterSlot),
   former: z.array(voterSlot).optional(),
 });
 
-/** Who votes. */
+/** The voter set. */
 export type VoterSet = z.infer<typeof voterSet>;
 
 /** One entry of the replicated log. */
@@ -26,7 +26,7 @@
 /** One entry of the replicated log. */
 export type Entry = z.infer<typeof entry>;
 
-/** Asks for a vote, or with `pre` whether a vote would be given. */
+/** A vote request, or with `pre` a pre-vote request. */
 export const voteReq = z.object({
   pre: z.boolean(),
   term: z.int(),
@@ -35,7 +35,7 @@
   lastTerm: z.int(),
 });
 
-/** The answer to a vote request. */
+/** The response to a vote request. */
 export const voteRes = z.object({ term: z.int(), granted: z.boolean(), voterId: z.string() });
 
 /** Entries, or a heartbeat, from the leader. */
@@ -48,7 +48,10 @@
   commit: z.int(),
 });
 
-/** The answer to entries; `match` is durable, `hint` is where to go on after a refusal. */
+/**
+ * The response to an append request; `match` is the last durable index, `hint` on rejection the index after which to
+ * resume.
+ */
 export const appendRes = z.object({
   term: z.int(),
   ok: z.boolean(),
@@ -57,47 +60,47 @@
   voterId: z.string(),
 });
 
-/** A whole snapshot, for a follower that is behind the log. */
+/** A full snapshot, for a follower that needs entries that the leader has discarded. */
 export const snapshotReq = z.object({
   term: z.int(),
   leader: z.string(),
   lastIndex: z.int(),
   lastTerm: z.int(),
   voters: z.array(voterSlot),
-  /** Set while seats change hands. */
+  /** Set during a membership change. */
   formerVoters: z.array(voterSlot).optional(),
   state: z.unknown(),
 });
 
-/** Asks for a vote. */
+/** A vote request. */
 export type VoteReq = z.infer<typeof voteReq>;
-/** The answer to a vote request. */
+/** The response to a vote request. */
 export type VoteRes = z.infer<typeof voteRes>;
 /** Entries from the leader. */
 export type AppendReq = z.infer<typeof appendReq>;
-/** The answer to entries. */
+/** The response to an append request. */
 export type AppendRes = z.infer<typeof appendRes>;
-/** A whole snapshot. */
+/** A full snapshot. */
 export type SnapshotReq = z.infer<typeof snapshotReq>;
 
-/** How a voter reaches the others. */
+/** Sends requests to other voters. */
 export interface Transport {
   vote(peer: string, req: VoteReq): Promise<VoteRes>;
   append(peer: string, req: AppendReq): Promise<AppendRes>;
   snapshot(peer: string, req: SnapshotReq): Promise<AppendRes>;
 }
 
-/** What the log drives: commands are applied in order, once, the same on every voter. */
+/** The replicated state machine. Commands are applied in log order, each once, and deterministically on every voter. */
 export interface StateMachine {
-  /** Applies a command and gives its result. */
+  /** Applies a command and returns its result. */
   apply(entry: Entry): unknown;
-  /** A copy of the whole state. */
+  /** Returns the full state. */
   getSnapshot(): unknown;
-  /** Replaces the whole state. */
+  /** Replaces the full state. */
   restore(state: unknown): void;
 }
 
-/** The times of the protocol, in milliseconds. */
+/** Protocol timeouts, in milliseconds. */
 export interface Timings {
   readonly electionMs: number;
   readonly leaseMs: number;
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -6,13 +6,13 @@
 import type * as types from './types.js';
 import type * as wals from './wal.js';
 
-/** How many entries are kept before a snapshot takes their place. */
-const SNAPSHOT_EVERY = 1_000;
+/** Number of entries in the log after which it is compacted into a snapshot. */
+const SNAPSHOT_INTERVAL_ENTRIES = 1_000;
 
-/** How many entries stay behind a snapshot, so that a follower slightly behind needs no snapshot. */
-const KEEP_BEHIND = 200;
+/** Number of entries retained before a snapshot, so that a follower slightly behind needs no snapshot. */
+const RETAINED_ENTRIES = 200;
 
-/** What a voter is made of. */
+/** Dependencies and settings of a voter. */
 export interface VoterOptions {
   readonly daemonId: string;
   readonly genesis: genesisFile.Genesis;
@@ -22,12 +22,12 @@
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly timings: types.Timings;
-  /** Gives a number from 0 up to 1, for election timeouts. */
+  /** Returns a random number in [0, 1), for election timeouts. */
   readonly random: () => number;
   readonly snapshotEvery?: number;
 }
 
-/** One voter of the replicated log: its durable state, what it answers, and whom it follows. */
+/** One voter of the replicated log: its Raft state, its request handlers, and its role. */
 export class Voter {
   public readonly entries: entryLogs.EntryLog;
   public readonly changed = new schemas.ChangeSignal();
@@ -37,14 +37,15 @@
   public commitIndex: number;
   public appliedIndex: number;
   public stopped = false;
+  /** When this voter started, last received a valid request from a leader, or last granted a vote. */
   public lastLeaderContactAt: number;
-  /** Whether it has heard a leader or helped to elect one since it started. */
-  private hasHeard = false;
-  /** When everything that the leader then called committed was last applied here. */
+  /** Whether a leader contacted this voter, or it granted a vote, since it started. */
+  private hasLeaderContact = false;
+  /** When all entries that the leader had announced as committed were last applied here. */
   public caughtUpAt = -Infinity;
   private votedFor: string | null;
   private compacting = false;
-  private notedSeats = '';
+  private loggedVoterSet = '';
   private readonly results = new Map<number, (result: unknown) => void>();
 
   public constructor(
@@ -59,13 +60,13 @@
     if (recovered.snapshot !== undefined) {
       options.machine.restore(recovered.snapshot.state);
     }
-    // A restarted voter has forgotten when it last heard the leader. If it voted at once, a new leader
-    // could rise while the old one still holds its lease. What it answered before it went down lends a lease
-    // for `leaseMs` at most, so waiting that long is enough.
+    // A restarted voter doesn't know when the leader last contacted it. If it voted at once, a new leader could be
+    // elected while the old one still holds its lease. A response sent before the restart extends a lease by at most
+    // `leaseMs`, so waiting that long is enough.
     this.lastLeaderContactAt = options.clock.now();
   }
 
-  /** Recovers the durable state and makes the voter. */
+  /** Recovers the durable state and creates the voter. */
   public static async create(options: VoterOptions): Promise<Voter> {
     return new Voter(options, await options.wal.recover());
   }
@@ -78,24 +79,24 @@
     return this.options.genesis.voterId;
   }
 
-  /** Whether this data folder holds a seat; a daemon that lost its disk has a new number and holds none. */
+  /** Whether this data directory holds a voter slot; a host that lost its disk has a new id and holds none. */
   public hasSlot(): boolean {
-    return this.entries.getVoters().some((seat) => seat.voterId === this.voterId);
+    return this.entries.getVoters().some((slot) => slot.voterId === this.voterId);
   }
 
-  /** Whether this voter leads now. */
+  /** Whether this voter is the leader. */
   public isLeader(): boolean {
     return this.leadership !== undefined;
   }
 
-  /** Gives or refuses a vote. */
+  /** Handles a vote or pre-vote request. */
   public async handleVote(req: types.VoteReq): Promise<types.VoteRes> {
     const refuse = () => ({ term: this.term, granted: false, voterId: this.voterId });
     if (this.stopped || !this.hasSlot() || !this.isUpToDate(req)) {
       return refuse();
     }
-    // A leader that is being heard keeps its lease: nobody is helped to replace it.
-    if (this.leadership !== undefined || this.isLeaderHeard()) {
+    // No vote against a leader that is active: it may hold a lease.
+    if (this.leadership !== undefined || this.isLeaderActive()) {
       return refuse();
     }
     if (req.pre) {
@@ -104,38 +105,40 @@
     if (req.term > this.term || (req.term === this.term && this.votedFor === null)) {
       await this.adoptTerm(req.term, req.candidate.voterId);
     }
-    // A doubled request must not be answered before the vote that the first one caused is on the disk.
+    // A duplicate request must not be answered before the vote for the first one is on disk.
     await this.persist();
     const granted = req.term === this.term && this.votedFor === req.candidate.voterId;
     if (granted) {
-      this.noteHeard();
+      this.recordLeaderContact();
     }
     return { term: this.term, granted, voterId: this.voterId };
   }
 
-  /** Takes entries from the leader. */
+  /** Handles an append request from the leader. */
   public async handleAppend(req: types.AppendReq): Promise<types.AppendRes> {
     if (this.stopped || req.term < this.term) {
       return this.createAppendRes(false, this.entries.lastIndex);
     }
     await this.follow(req.term, req.leader);
-    const known = this.entries.findTerm(req.prevIndex);
-    if (known !== req.prevTerm) {
+    const prevTerm = this.entries.findTerm(req.prevIndex);
+    if (prevTerm !== req.prevTerm) {
       const hint = Math.min(req.prevIndex - 1, this.entries.lastIndex);
       return this.createAppendRes(false, Math.max(hint, this.commitIndex));
     }
     const firstNew = req.entries.findIndex(
       (entry) => this.entries.findTerm(entry.index) !== entry.term,
     );
-    const fresh = firstNew < 0 ? [] : req.entries.slice(firstNew);
-    if (fresh[0] !== undefined && fresh[0].index <= this.commitIndex) {
+    const newEntries = firstNew < 0 ? [] : req.entries.slice(firstNew);
+    if (newEntries[0] !== undefined && newEntries[0].index <= this.commitIndex) {
       return this.createAppendRes(false, this.commitIndex);
     }
-    this.entries.append(fresh);
+    this.entries.append(newEntries);
     this.logVoterSet();
     const match = req.prevIndex + req.entries.length;
-    // Syncing even when nothing is new: an earlier copy of these entries may still be on its way to disk.
-    await this.persist(...(fresh.length > 0 ? [{ kind: 'entries', entries: fresh } as const] : []));
+    // Sync even if no entry is new: the write of an earlier copy of these entries may still be pending.
+    await this.persist(
+      ...(newEntries.length > 0 ? [{ kind: 'entries', entries: newEntries } as const] : []),
+    );
     if (req.term !== this.term) {
       return this.createAppendRes(false, this.entries.lastIndex);
     }
@@ -146,7 +149,7 @@
     return { ...this.createAppendRes(true, match), match };
   }
 
-  /** Takes a whole snapshot from the leader. */
+  /** Handles a snapshot from the leader. */
   public async handleSnapshot(req: types.SnapshotReq): Promise<types.AppendRes> {
     if (this.stopped || req.term < this.term) {
       return this.createAppendRes(false, this.entries.lastIndex);
@@ -161,12 +164,12 @@
     this.options.machine.restore(req.state);
     this.commitIndex = req.lastIndex;
     this.appliedIndex = req.lastIndex;
-    await this.options.wal.compact(snapshot, () => this.getRest());
+    await this.options.wal.compact(snapshot, () => this.getLogState());
     this.changed.notify();
     return { ...this.createAppendRes(true, req.lastIndex), match: req.lastIndex };
   }
 
-  /** Moves to a higher term, with the vote given in it, and keeps both before anything is said. */
+  /** Adopts a term and the vote granted in it. Resolves once both are on disk, so that no response precedes them. */
   public async adoptTerm(term: number, votedFor: string | null): Promise<void> {
     if (term > this.term) {
       this.leadership?.stop('higher term');
@@ -178,7 +181,7 @@
     await this.persist({ kind: 'vote', term, votedFor });
   }
 
-  /** Writes ahead; a voter whose disk fails stops, since it can keep no promise. */
+  /** Appends records to the write-ahead log. A voter whose disk fails stops, since it can't make anything durable. */
   public async persist(...records: wals.WalRecord[]): Promise<void> {
     try {
       await this.options.wal.append(...records);
@@ -189,7 +192,7 @@
     }
   }
 
-  /** Applies everything up to an index that a majority holds. */
+  /** Advances the commit index and applies the entries up to it. */
   public commitTo(index: number): void {
     const target = Math.min(index, this.entries.lastIndex);
     if (target <= this.commitIndex) {
@@ -203,28 +206,31 @@
     void this.maybeCompact();
   }
 
-  /** Logs who votes when that has changed in this log: of a change that was cut short only this line tells how far it came. */
+  /**
+   * Logs the voter set when it has changed. For a membership change that was interrupted only this line shows how far
+   * it got.
+   */
   public logVoterSet(): void {
-    const seating = this.entries.getVoterSet();
-    const seats = seating.seats.map((seat) => seat.daemonId);
-    const former = seating.former?.map((seat) => seat.daemonId);
-    const noted = JSON.stringify([seating.seats, seating.former]);
-    if (noted === this.notedSeats) {
+    const voterSet = this.entries.getVoterSet();
+    const seats = voterSet.seats.map((slot) => slot.daemonId);
+    const former = voterSet.former?.map((slot) => slot.daemonId);
+    const serialized = JSON.stringify([voterSet.seats, voterSet.former]);
+    if (serialized === this.loggedVoterSet) {
       return;
     }
-    this.notedSeats = noted;
+    this.loggedVoterSet = serialized;
     const { lastIndex: index } = this.entries;
     this.options.log.info({ event: 'seats', seats, former, index, isSeated: this.hasSlot() });
   }
 
-  /** Resolves with the result of an entry when it is applied here. */
+  /** Resolves with the result of an entry once it is applied here. */
   public awaitResult(index: number): Promise<unknown> {
     return new Promise((resolve) => {
       this.results.set(index, resolve);
     });
   }
 
-  /** Ends every task of this voter. */
+  /** Stops this voter. */
   public stop(): void {
     this.stopped = true;
     this.leadership?.stop('stopping');
@@ -232,7 +238,7 @@
     this.changed.notify();
   }
 
-  /** Becomes the leader of the present term. */
+  /** Becomes the leader of the current term. */
   public becomeLeader(): void {
     this.leader = this.daemonId;
     this.leadership = new leaderships.Leadership(this);
@@ -241,7 +247,7 @@
   }
 
   private async follow(term: number, leader: string): Promise<void> {
-    this.noteHeard();
+    this.recordLeaderContact();
     if (term > this.term) {
       await this.adoptTerm(term, null);
     }
@@ -251,22 +257,23 @@
     }
   }
 
-  private noteHeard(): void {
+  private recordLeaderContact(): void {
     this.lastLeaderContactAt = this.options.clock.now();
-    this.hasHeard = true;
+    this.hasLeaderContact = true;
   }
 
   /**
-   * For how long a silent leader is still taken to lead, in milliseconds. One that was never heard since this voter
-   * started cannot be there because of this voter beyond its lease. Where all voters start at once, as after a
-   * power loss, no host serves before they agree: 0.4 s less at 600 and 400 ms.
+   * How long a leader counts as active after its last contact, in milliseconds. If no leader has contacted this voter
+   * since it started, then this voter's responses support a leader for at most `leaseMs`, so no longer wait is needed.
+   * When all voters start at once, for example after a power failure, no host serves until a leader is elected; this
+   * takes 0.4 s less with an election timeout of 600 ms and a lease of 400 ms.
    */
   public getLeaderTimeoutMs(): number {
     const { electionMs, leaseMs } = this.options.timings;
-    return this.hasHeard ? electionMs : leaseMs;
+    return this.hasLeaderContact ? electionMs : leaseMs;
   }
 
-  private isLeaderHeard(): boolean {
+  private isLeaderActive(): boolean {
     return this.options.clock.now() - this.lastLeaderContactAt < this.getLeaderTimeoutMs();
   }
 
@@ -293,22 +300,22 @@
   }
 
   private async maybeCompact(): Promise<void> {
-    const every = this.options.snapshotEvery ?? SNAPSHOT_EVERY;
+    const every = this.options.snapshotEvery ?? SNAPSHOT_INTERVAL_ENTRIES;
     if (this.compacting || this.stopped || this.entries.length < every) {
       return;
     }
     this.compacting = true;
     const lastIndex = this.appliedIndex;
-    const seating = this.entries.getVoterSetAt(lastIndex);
+    const voterSet = this.entries.getVoterSetAt(lastIndex);
     const snapshot: wals.Snapshot = {
       lastIndex,
       lastTerm: this.entries.findTerm(lastIndex) ?? 0,
-      voters: seating.seats,
-      formerVoters: seating.former,
+      voters: voterSet.seats,
+      formerVoters: voterSet.former,
       state: structuredClone(this.options.machine.getSnapshot()),
     };
     try {
-      await this.options.wal.compact(snapshot, () => this.getRestAfter(lastIndex));
+      await this.options.wal.compact(snapshot, () => this.compactLogState(lastIndex));
     } catch (err) {
       this.options.log.error({ step: 'compact', err: schemas.toError(err).message });
       this.stop();
@@ -317,12 +324,12 @@
     }
   }
 
-  private getRestAfter(index: number) {
-    this.entries.compactTo(Math.max(index - KEEP_BEHIND, this.entries.baseIndex));
-    return this.getRest();
+  private compactLogState(index: number) {
+    this.entries.compactTo(Math.max(index - RETAINED_ENTRIES, this.entries.baseIndex));
+    return this.getLogState();
   }
 
-  private getRest() {
+  private getLogState() {
     const first = this.entries.baseIndex + 1;
     const entries = this.entries.slice(first, this.entries.length);
     return { term: this.term, votedFor: this.votedFor, entries };
--- a/packages/consensus/src/wal.ts
+++ b/packages/consensus/src/wal.ts
@@ -1,28 +1,28 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import * as batchFrame from './batch-frame.js';
-import type * as fileLayer from './file-storage.js';
+import type * as fileStorage from './file-storage.js';
 import type * as types from './types.js';
 
 const WAL_FILE = 'log.wal';
 const SNAPSHOT_FILE = 'snapshot';
 
-/** What is written ahead: entries, and the term with the vote given in it. */
+/** A record of the write-ahead log: entries, or a term with the vote granted in it. */
 export type WalRecord =
   | { readonly kind: 'entries'; readonly entries: readonly types.Entry[] }
   | { readonly kind: 'vote'; readonly term: number; readonly votedFor: string | null };
 
-/** A snapshot with the place in the log that it stands for. */
+/** A snapshot of the state machine and the log position that it covers. */
 export interface Snapshot {
   readonly lastIndex: number;
   readonly lastTerm: number;
   readonly voters: readonly types.VoterSlot[];
-  /** Set while seats change hands. */
+  /** Set during a membership change. */
   readonly formerVoters?: readonly types.VoterSlot[] | undefined;
   readonly state: unknown;
 }
 
-/** What a voter remembers after a restart. */
+/** The durable state of a voter, as recovered after a restart. */
 export interface RecoveredState {
   term: number;
   votedFor: string | null;
@@ -30,37 +30,37 @@
   entries: types.Entry[];
 }
 
-/** The write-ahead log of one voter: whatever `append` has resolved for is on the disk. */
+/** The write-ahead log of one voter. Records are on disk once `append` has resolved. */
 export class Wal {
   private queue: WalRecord[] = [];
   private nextBatch: Promise<void> | undefined;
   private tail: Promise<void> = Promise.resolve();
   private failed: Error | undefined;
 
-  public constructor(private readonly files: fileLayer.FileStorage) {}
+  public constructor(private readonly files: fileStorage.FileStorage) {}
 
-  /** Reads what was kept, and cuts off a tail that a crash left torn. */
+  /** Reads the durable state and truncates a last batch that a crash left incomplete. */
   public async recover(): Promise<RecoveredState> {
-    const found: RecoveredState = { term: 0, votedFor: null, snapshot: undefined, entries: [] };
+    const state: RecoveredState = { term: 0, votedFor: null, snapshot: undefined, entries: [] };
     const snapshotBytes = await this.files.read(SNAPSHOT_FILE);
     if (snapshotBytes !== undefined) {
-      found.snapshot = readSnapshot(snapshotBytes);
+      state.snapshot = readSnapshot(snapshotBytes);
     }
     const bytes = (await this.files.read(WAL_FILE)) ?? Buffer.alloc(0);
     const { batches, wholeBytes } = batchFrame.decodeBatchFile(WAL_FILE, bytes);
     if (wholeBytes < bytes.length) {
       await this.files.truncate(WAL_FILE, wholeBytes);
     }
-    // A process that was killed between a write and its sync leaves entries that are read back but would not
-    // survive a power loss. They count as held from here on, so they are synced before anything is said.
+    // A process that was killed between a write and its sync leaves entries that can be read but would not survive a
+    // power failure. From here on they are reported as durable, so they are synced first.
     await this.files.sync(WAL_FILE);
-    (batches as WalRecord[][]).flat().forEach((record) => replay(found, record));
-    const base = found.snapshot?.lastIndex ?? 0;
-    found.entries = found.entries.filter((entry) => entry.index > base);
-    return found;
+    (batches as WalRecord[][]).flat().forEach((record) => replay(state, record));
+    const base = state.snapshot?.lastIndex ?? 0;
+    state.entries = state.entries.filter((entry) => entry.index > base);
+    return state;
   }
 
-  /** Writes records and resolves when they are synced; calls that come together share one sync. */
+  /** Writes records and resolves once they are synced; concurrent calls share one sync (group commit). */
   public append(...records: WalRecord[]): Promise<void> {
     this.queue.push(...records);
     this.nextBatch ??= this.enqueue(async () => {
@@ -73,16 +73,16 @@
   }
 
   /**
-   * Keeps a snapshot and starts the log anew with the entries behind it. Records that wait meanwhile are
-   * written after it; they repeat what `getRest` gave, and replaying a repeated record changes nothing.
+   * Stores a snapshot and rewrites the log with what `getLogState` returns. Records that are queued meanwhile are
+   * written after it. They may repeat entries of the rewritten log; replaying a record twice has no effect.
    */
   public async compact(
     snapshot: Snapshot,
-    getRest: () => { term: number; votedFor: string | null; entries: readonly types.Entry[] },
+    getLogState: () => { term: number; votedFor: string | null; entries: readonly types.Entry[] },
   ): Promise<void> {
     await this.enqueue(() => this.files.replace(SNAPSHOT_FILE, batchFrame.encodeBatch(snapshot)));
     await this.enqueue(async () => {
-      const { term, votedFor, entries } = getRest();
+      const { term, votedFor, entries } = getLogState();
       const records: WalRecord[] = [
         { kind: 'vote', term, votedFor },
         { kind: 'entries', entries },
@@ -92,7 +92,7 @@
   }
 
   private enqueue(work: () => Promise<void>): Promise<void> {
-    const run = this.tail.then(() => this.guard(work));
+    const run = this.tail.then(() => this.runUnlessFailed(work));
     this.tail = run.catch(() => {});
     return run;
   }
@@ -105,9 +105,9 @@
     await this.files.sync(WAL_FILE);
   }
 
-  private async guard(work: () => Promise<void>): Promise<void> {
-    // After a failed sync the kernel may have dropped the pages, and a second sync would say all is well.
-    // So the first failure is final, and the voter stops promising anything.
+  private async runUnlessFailed(work: () => Promise<void>): Promise<void> {
+    // After a failed sync the kernel may have dropped the dirty pages, and a second sync would report success though
+    // the data is lost. So the first failure is permanent: all later writes fail too.
     if (this.failed !== undefined) {
       throw this.failed;
     }
@@ -142,7 +142,7 @@
   if (first === undefined) {
     return;
   }
-  // An entry with a known index replaces it and all behind it, as it did in memory.
+  // Truncates the log from the index of the first entry, as the in-memory log did.
   found.entries = found.entries.filter((entry) => entry.index < first.index);
   found.entries.push(...record.entries);
 }
--- a/packages/consensus/tests/genesis.test.ts
+++ b/packages/consensus/tests/genesis.test.ts
@@ -8,7 +8,7 @@
   agreed: consensus.Genesis | undefined;
 }
 
-/** Starts hosts that know each other, of which some may found the log. */
+/** Starts hosts that have each other as peers; `founders` gives the founders that each is configured with. */
 async function startHosts(
   founders: Readonly<Record<string, readonly string[]>>,
   clock: schemas.VirtualClock,
@@ -35,32 +35,30 @@
   return hosts;
 }
 
-void tap.default.test('only those who may found a log do so', async (t) => {
+void tap.default.test('only founders bootstrap a log', async (t) => {
   const seeds = ['a', 'b', 'c'];
 
-  await t.test('three founders and a fourth host make one group of three', async (t2) => {
+  await t.test('three founders and a fourth host agree on the same three voters', async (t2) => {
     const clock = new schemas.VirtualClock();
     const hosts = await startHosts({ a: seeds, b: seeds, c: seeds, d: [] }, clock);
     const groups = [...hosts.values()].map((host) => host.agreed?.voters.map((v) => v.daemonId));
-    t2.same(groups, [seeds, seeds, seeds, seeds], 'the fourth joins without a seat');
+    t2.same(groups, [seeds, seeds, seeds, seeds], 'the fourth joins without a voter slot');
   });
 
-  await t.test(
-    'empty hosts that were not there at the start never found a second log',
-    async (t2) => {
-      // Seeds change over the years: a spare, a replaced host and one with a lost disk may one day be all
-      // that the settings name. If they founded a log of their own, old configurations would come back as new.
-      const clock = new schemas.VirtualClock();
-      const hosts = await startHosts({ a: [], b: [], c: [] }, clock);
-      t2.ok(
-        [...hosts.values()].every((host) => host.agreed === undefined),
-        'they wait',
-      );
-    },
-  );
+  await t.test('empty hosts that are no founders never bootstrap a second log', async (t2) => {
+    // Seeds change over time: the settings may end up listing only a spare, a replaced host and one that lost its
+    // disk. If these bootstrapped a log of their own, revisions would start over and old configurations would count
+    // as new.
+    const clock = new schemas.VirtualClock();
+    const hosts = await startHosts({ a: [], b: [], c: [] }, clock);
+    t2.ok(
+      [...hosts.values()].every((host) => host.agreed === undefined),
+      'they wait',
+    );
+  });
 
-  await t.test('a founder that restarts before the founding still may', async (t2) => {
-    // It was named a founder at the very first start only; its folder remembers.
+  await t.test('a founder that restarts before the bootstrap remains a founder', async (t2) => {
+    // The settings listed it as a founder at its first start only; its data directory stores that.
     const files = new fakes.MemoryFiles();
     await consensus.openIdentity(files, seeds);
     const again = await consensus.openIdentity(files.reopen(), []);
--- a/packages/consensus/tests/history.test.ts
+++ b/packages/consensus/tests/history.test.ts
@@ -5,15 +5,15 @@
 import * as schedules from './support/schedule.js';
 
 /**
- * A seat may be silent for two elections of these voters before another host takes it. At the end the voters get up to 12 s
- * until a command is accepted: with two of five gone for good all three that are left must vote for one of them, over
- * links that lose messages, which took 7 terms and 2.4 s in the schedule below.
+ * A voter may lag for two election timeouts before another host gets its slot. At the end the voters get up to 12 s
+ * until a command is accepted: when two of five voters are permanently lost, a candidate needs the votes of all three
+ * others over lossy links, which took 7 terms and 2.4 s in `LONG_ELECTION`.
  */
 const SETTLE: schedules.SettleOptions = { replaceAfterMs: 600, settleSteps: 100 };
 
 const REPLACE_FIRST: schedules.Fault = { kind: 'replace', at: 0 };
 
-/** Two hosts are gone for good and the third is down, until it is back at last. */
+/** Two hosts are permanently lost, and a third one is down until it restarts. */
 const LONG_ELECTION: [number, schedules.Fault[]] = [
   5254,
   [
@@ -38,7 +38,7 @@
   ],
 ];
 
-/** A third host would go for good in the moment in which the seats of two change hands. */
+/** A third host would be lost while the slots of two others are being reassigned. */
 const THIRD_LOSS: [number, schedules.Fault[]] = [
   704365,
   [
@@ -56,14 +56,14 @@
   ],
 ];
 
-/** How many schedules with replaced hosts are drawn, and from which seed; more and others in a long run. */
-const SEAT_RUNS = Number(process.env.SEAT_RUNS ?? 60);
-const SEAT_SEED = Number(process.env.SEAT_SEED ?? 20261204);
+/** Number of generated schedules with replaced hosts, and their seed; both can be set for a long run. */
+const REPLACEMENT_RUNS = Number(process.env.SEAT_RUNS ?? 60);
+const REPLACEMENT_SEED = Number(process.env.SEAT_SEED ?? 20261204);
 
-void tap.default.test('what was accepted stays, whatever dies and is cut', async (t) => {
-  // The operator sees: an accepted command is in every later read, in one order, once.
-  // Voters are killed (also inside a write), cut off one way and both ways, healed and restarted, in
-  // schedules that fast-check draws and shrinks; messages are lost, doubled, late and out of order.
+void tap.default.test('accepted commands survive crashes and partitions', async (t) => {
+  // Guarantee to operators: every later read contains an accepted command, once, and all reads agree on the order.
+  // Voters are killed (also during a write), partitioned one-way and both ways, reconnected and restarted, in schedules
+  // that fast-check generates and shrinks. Messages are lost, duplicated, delayed and reordered.
   const property = fc.asyncProperty(
     fc.nat(1_000_000),
     fc.array(schedules.faultArbitrary, { minLength: 5, maxLength: 40 }),
@@ -79,28 +79,31 @@
   await t.resolves(fc.assert(property, { numRuns: 60, seed: 20261202 }));
 });
 
-void tap.default.test('the check notices a vote and entries that were not synced', async (t) => {
-  // Proof of the check: with a sync that does nothing, killed voters forget what they promised.
-  const kills = schedules.VOTERS.map((_, at): schedules.Fault => ({ kind: 'kill', at }));
-  const schedule: schedules.Fault[] = [
-    { kind: 'none' },
-    { kind: 'none' },
-    ...kills,
-    { kind: 'restart' },
-  ];
-  let found = 0;
-  for (let seed = 1; seed <= 6; seed += 1) {
-    const run = await schedules.runSchedule(seed, schedule, (cluster) => cluster.breakSync());
-    found += histories.findViolations(run.history).length;
-  }
-  t.ok(found > 0, `${found} violations are reported`);
-});
+void tap.default.test(
+  'the history check detects votes and entries that were not synced',
+  async (t) => {
+    // Validates the check itself: with a no-op sync, killed voters lose votes and entries that they have acknowledged.
+    const kills = schedules.VOTERS.map((_, at): schedules.Fault => ({ kind: 'kill', at }));
+    const schedule: schedules.Fault[] = [
+      { kind: 'none' },
+      { kind: 'none' },
+      ...kills,
+      { kind: 'restart' },
+    ];
+    let found = 0;
+    for (let seed = 1; seed <= 6; seed += 1) {
+      const run = await schedules.runSchedule(seed, schedule, (cluster) => cluster.breakSync());
+      found += histories.findViolations(run.history).length;
+    }
+    t.ok(found > 0, `${found} violations are reported`);
+  },
+);
 
-void tap.default.test('what was accepted stays when disks are lost, two at a time', async (t) => {
-  // The operator sees: an accepted command is in every later read. Hosts come back with empty disks under their old
-  // names, are strangers until the leader has seated them anew, and more disks are lost while that is under way;
-  // meanwhile others are killed, cut off and restarted. A stranger that voted, or counted for what it had before,
-  // would let a leader rise that lacks what was accepted.
+void tap.default.test('accepted commands survive the loss of two disks at a time', async (t) => {
+  // Guarantee to operators: every later read contains an accepted command. Hosts come back with empty disks under their
+  // old names and get a voter slot again from the leader; more disks are lost in the meantime, and other hosts are
+  // killed, partitioned and restarted. If a host with an empty disk voted, or counted for entries that it no longer
+  // has, a leader without accepted commands could be elected.
   let wipes = 0;
   const wipe = fc.record({
     kind: fc.constant('wipe' as const),
@@ -129,12 +132,12 @@
 });
 
 void tap.default.test(
-  'what was accepted stays when hosts are replaced in the middle of it',
+  'accepted commands survive the replacement of hosts under load',
   async (t) => {
-    // The operator sees: an accepted command is in every later read, and a command is accepted again once all is mended.
-    // Hosts go for good, two seats at a time at most, and empty ones stand in for them under other names; seats of hosts
-    // that are silent for a little change hands, also of hosts that come back; meanwhile voters are killed, cut off and
-    // restarted, the leader in the middle of a change too.
+    // Guarantee to operators: every later read contains an accepted command, and commands are accepted again once all
+    // faults are repaired. Hosts are lost permanently, at most two voters at a time, and are replaced by empty hosts
+    // with other names. Slots of hosts that lag briefly are reassigned too, even if these hosts come back. Meanwhile
+    // voters are killed, partitioned and restarted, including the leader during a membership change.
     let replaced = 0;
     const replace = fc.record({
       kind: fc.constant('replace' as const),
@@ -161,8 +164,12 @@
         }
       },
     );
-    const settings = { numRuns: SEAT_RUNS, seed: SEAT_SEED, examples: [LONG_ELECTION, THIRD_LOSS] };
+    const settings = {
+      numRuns: REPLACEMENT_RUNS,
+      seed: REPLACEMENT_SEED,
+      examples: [LONG_ELECTION, THIRD_LOSS],
+    };
     await t.resolves(fc.assert(property, settings));
-    t.ok(replaced > 2 * SEAT_RUNS, `${replaced} hosts were replaced`);
+    t.ok(replaced > 2 * REPLACEMENT_RUNS, `${replaced} hosts were replaced`);
   },
 );
--- a/packages/consensus/tests/membership-change.test.ts
+++ b/packages/consensus/tests/membership-change.test.ts
@@ -6,17 +6,17 @@
 
 const THREE = ['v1', 'v2', 'v3'];
 
-/** One moment after another at which something happens in the middle of a change, in milliseconds. */
-const MOMENTS_MS = Array.from({ length: 30 }, (_, i) => i * 2);
+/** Times after the start of a change at which a fault is injected, in milliseconds. */
+const FAULT_TIMES_MS = Array.from({ length: 30 }, (_, i) => i * 2);
 
 interface Roles {
   readonly cluster: clusters.Cluster;
   readonly leader: consensus.Voter;
-  /** The two other first voters. */
+  /** The two other initial voters. */
   readonly others: readonly [string, string];
 }
 
-/** Three voters, one of which leads, and a host without a seat. */
+/** Starts three voters, one of which is the leader, and a host without a voter slot. */
 async function start(seed: number): Promise<Roles> {
   const cluster = new clusters.Cluster(THREE, seed);
   await cluster.startAll();
@@ -27,19 +27,19 @@
   return { cluster, leader, others: [one!, two!] };
 }
 
-function getSeat(cluster: clusters.Cluster, daemonId: string): consensus.VoterSlot {
+function getSlot(cluster: clusters.Cluster, daemonId: string): consensus.VoterSlot {
   return { daemonId, voterId: cluster.nodes.get(daemonId)!.voter!.voterId };
 }
 
-/** Gives one voter's seat to the spare host. */
-function swap({ cluster, leader }: Roles, gone: string): Promise<void> {
+/** Replaces one voter by the spare host. */
+function replaceVoter({ cluster, leader }: Roles, removed: string): Promise<void> {
   return leader.leadership!.changeVoters((seats) => [
-    ...seats.filter((seat) => seat.daemonId !== gone),
-    getSeat(cluster, 'spare'),
+    ...seats.filter((slot) => slot.daemonId !== removed),
+    getSlot(cluster, 'spare'),
   ]);
 }
 
-/** Whether a command is accepted by whoever leads, in time. */
+/** Whether a command is accepted by any leader within 5 s. */
 async function isAccepted(cluster: clusters.Cluster, id: string): Promise<boolean> {
   const accepted: string[] = [];
   for (let i = 0; i < 100 && accepted.length === 0; i += 1) {
@@ -54,26 +54,26 @@
   return accepted.length > 0;
 }
 
-function listSeats(voter: consensus.Voter | undefined): string[] {
+function listVoters(voter: consensus.Voter | undefined): string[] {
   return (
     voter?.entries
       .getVoters()
-      .map((seat) => seat.daemonId)
+      .map((slot) => slot.daemonId)
       .sort() ?? []
   );
 }
 
 void tap.default.test(
-  'a stand-in with the leader is no majority of the former voters',
+  'the leader and a replacement are no majority of the former voters',
   async (t) => {
-    // Callers would be served by two leaders at once, each with configurations of its own.
-    // The leader and the stand-in are cut off from the two other voters in the middle of the change. The stand-in's vote and
-    // the leader's are two of the next three; the two others are two of the former three, and elect another.
-    for (const at of MOMENTS_MS) {
+    // Guards against two leaders at once, which would serve calls with different configurations. The leader and the
+    // replacement are partitioned from the two other voters during the change. The former are two of the next three
+    // voters; the latter are two of the former three and elect another leader.
+    for (const at of FAULT_TIMES_MS) {
       const roles = await start(41);
       const { cluster, leader, others } = roles;
-      const [gone, stays] = others;
-      swap(roles, gone).catch(() => {});
+      const [removed, remaining] = others;
+      replaceVoter(roles, removed).catch(() => {});
       await cluster.clock.advance(at);
       others.forEach((other) => {
         [leader.daemonId, 'spare'].forEach((id) => {
@@ -91,48 +91,51 @@
       const isAlive = await isAccepted(cluster, 'healed');
       await cluster.clock.advance(1_000);
       t.ok(leased <= 1, `after ${at} ms: ${leased} leases at once`);
-      t.ok(isAlive, `after ${at} ms: the log goes on once healed`);
+      t.ok(isAlive, `after ${at} ms: commands are accepted once the partition heals`);
       t.ok(
-        cluster.getApplied(stays).includes('healed'),
-        `after ${at} ms: and the voter that stays has it`,
+        cluster.getApplied(remaining).includes('healed'),
+        `after ${at} ms: and the remaining voter has applied it`,
       );
     }
   },
 );
 
-void tap.default.test('a stand-in that dies on the way costs nothing', async (t) => {
-  // Operators could change nothing any more. A voter is dead, and its stand-in dies while it gets the seat: the two
-  // voters that are left were enough before, and must be at every step.
-  for (const at of MOMENTS_MS) {
-    const roles = await start(43);
-    const { cluster, others } = roles;
-    cluster.kill(others[0]);
-    swap(roles, others[0]).catch(() => {});
-    await cluster.clock.advance(at);
-    cluster.kill('spare');
-    t.ok(await isAccepted(cluster, 'after'), `after ${at} ms`);
-  }
-});
+void tap.default.test(
+  'a replacement that fails during the change does not stop the log',
+  async (t) => {
+    // Guards against a log that accepts no more commands. A voter is dead, and its replacement fails while it is being
+    // added. The two remaining voters were sufficient before the change and must be at every step of it.
+    for (const at of FAULT_TIMES_MS) {
+      const roles = await start(43);
+      const { cluster, others } = roles;
+      cluster.kill(others[0]);
+      replaceVoter(roles, others[0]).catch(() => {});
+      await cluster.clock.advance(at);
+      cluster.kill('spare');
+      t.ok(await isAccepted(cluster, 'after'), `after ${at} ms`);
+    }
+  },
+);
 
-void tap.default.test('whoever leads next finishes the change, or takes it back', async (t) => {
-  // A change of configuration would need the majorities of both groups for ever, and the next loss would stop the log.
-  // The leader dies in the middle of the change and comes back; the voter whose seat was to be given away stays dead.
-  for (const at of MOMENTS_MS) {
+void tap.default.test('the next leader finishes the change or reverts it', async (t) => {
+  // An unfinished change would require the majorities of both groups forever, and the next loss would stop the log. The
+  // leader fails during the change and restarts; the voter that is being replaced stays dead.
+  for (const at of FAULT_TIMES_MS) {
     const roles = await start(47);
     const { cluster, leader, others } = roles;
-    const [gone, stays] = others;
-    cluster.kill(gone);
-    swap(roles, gone).catch(() => {});
+    const [removed, remaining] = others;
+    cluster.kill(removed);
+    replaceVoter(roles, removed).catch(() => {});
     await cluster.clock.advance(at);
     cluster.kill(leader.daemonId);
     await cluster.clock.advance(700);
     cluster.start(leader.daemonId);
-    t.ok(await isAccepted(cluster, 'after'), `after ${at} ms: the log goes on`);
+    t.ok(await isAccepted(cluster, 'after'), `after ${at} ms: commands are accepted`);
     await cluster.clock.advance(2_000);
-    const seating = cluster.findLeader()!.entries.getVoterSet();
-    t.equal(seating.former, undefined, `after ${at} ms: one group votes`);
-    const seats = listSeats(cluster.findLeader());
-    const wanted = [[leader.daemonId, stays, 'spare'].sort(), [...THREE]];
+    const voterSet = cluster.findLeader()!.entries.getVoterSet();
+    t.equal(voterSet.former, undefined, `after ${at} ms: there is one group of voters`);
+    const seats = listVoters(cluster.findLeader());
+    const wanted = [[leader.daemonId, remaining, 'spare'].sort(), [...THREE]];
     t.ok(
       wanted.some((item) => item.join() === seats.join()),
       `after ${at} ms: ${seats}`,
@@ -140,9 +143,9 @@
   }
 });
 
-void tap.default.test('a newcomer holds the whole log before it is proposed', async (t) => {
-  // A long log comes in several messages. A newcomer that counted from the first one on would be one of the three while
-  // it lacks what was accepted, and the next loss would leave one voter that has it.
+void tap.default.test('a new voter has the whole log before the change is appended', async (t) => {
+  // A long log is sent in several messages. If a new voter counted from the first one on, it would be one of three
+  // voters while it lacks accepted commands, and the next loss would leave a single voter that has them.
   const cluster = new clusters.Cluster(THREE, 79);
   cluster.snapshotEvery = 10_000;
   await cluster.startAll();
@@ -155,7 +158,7 @@
   t.equal(leader.commitIndex, 1_001);
   cluster.start('spare');
   await cluster.clock.advance(500);
-  swap({ cluster, leader, others }, others[0]).catch(() => {});
+  replaceVoter({ cluster, leader, others }, others[0]).catch(() => {});
   while (leader.entries.getVoterSet().former === undefined) {
     await cluster.clock.advance(1);
   }
@@ -163,33 +166,33 @@
   t.ok(lastIndex >= 1_001, `it has ${lastIndex} entries`);
 });
 
-void tap.default.test('a newcomer that does not answer is not even proposed', async (t) => {
-  // A change that begins with a dead newcomer would have to be taken back, for two entries and a second and more in which
-  // both groups are needed.
+void tap.default.test('no change is appended for a new voter that does not respond', async (t) => {
+  // A change started with a dead new voter would have to be reverted: it would cost two entries, and for more than a
+  // second the majorities of both groups would be required.
   const roles = await start(67);
   const { cluster, leader, others } = roles;
   cluster.kill('spare');
   const { lastIndex } = leader.entries;
   let failed = '';
-  swap(roles, others[0]).catch((err: Error) => {
+  replaceVoter(roles, others[0]).catch((err: Error) => {
     failed = err.name;
   });
   await cluster.clock.advance(2_000);
   t.equal(failed, 'linkClosed');
-  t.equal(leader.entries.lastIndex, lastIndex, 'the log has no entry of it');
+  t.equal(leader.entries.lastIndex, lastIndex, 'the log contains no entry for it');
   t.ok(await isAccepted(cluster, 'after'));
 });
 
-void tap.default.test('the change is over when the newcomer can help to elect', async (t) => {
-  // The log stood still after a change that was done: a voter was dead, the stand-in's link hung for a moment, and the
-  // leader counted the seat as given on the word of the two others. Then the leader died for good. The stand-in did not
-  // know that it had a seat, so it helped nobody.
+void tap.default.test('a change completes only when the new voter can vote', async (t) => {
+  // Guards against a log that stops after a completed change: a voter is dead, the replacement's link fails briefly,
+  // and the leader completes the change with the responses of the two others. Then the leader is lost permanently. The
+  // replacement has not received its voter slot, so it grants no vote.
   const roles = await start(71);
   const { cluster, leader, others } = roles;
-  const [gone] = others;
-  cluster.kill(gone);
+  const [removed] = others;
+  cluster.kill(removed);
   let isOver = false;
-  void swap(roles, gone).then(() => {
+  void replaceVoter(roles, removed).then(() => {
     isOver = true;
   });
   while (leader.entries.getVoterSet().former === undefined) {
@@ -197,42 +200,42 @@
   }
   cluster.cut(leader.daemonId, 'spare');
   await cluster.clock.advance(200);
-  t.notOk(isOver, 'not while the stand-in has not got it');
+  t.notOk(isOver, 'the change waits for the replacement');
   cluster.heal();
   while (!isOver) {
     await cluster.clock.advance(1);
   }
   cluster.kill(leader.daemonId);
-  t.ok(await isAccepted(cluster, 'after'), 'the other voter and the stand-in go on');
+  t.ok(await isAccepted(cluster, 'after'), 'the other voter and the replacement accept commands');
 });
 
-void tap.default.test('a change is taken back when the newcomer is lost on the way', async (t) => {
-  // The voter whose seat was to be given away comes back with its disk, and then another is gone for good. Had the dead
-  // newcomer got the seat, the leader alone would be left of three.
+void tap.default.test('a change is reverted when the new voter is lost during it', async (t) => {
+  // The voter that was being replaced comes back with its disk, and then another one is permanently lost. If the lost
+  // new voter had got the slot, only the leader would be left of three voters.
   const roles = await start(73);
   const { cluster, leader, others } = roles;
-  const [away, stays] = others;
-  cluster.kill(away);
-  swap(roles, away).catch(() => {});
+  const [replaced, remaining] = others;
+  cluster.kill(replaced);
+  replaceVoter(roles, replaced).catch(() => {});
   while (leader.entries.getVoterSet().former === undefined) {
     await cluster.clock.advance(1);
   }
-  // Cut off first: an answer that is under way would count.
+  // Isolated first, since a response in flight would still count.
   cluster.isolate('spare');
   cluster.kill('spare');
   await cluster.clock.advance(2_000);
-  t.same(listSeats(cluster.findLeader()), THREE);
-  cluster.start(away);
+  t.same(listVoters(cluster.findLeader()), THREE);
+  cluster.start(replaced);
   await cluster.clock.advance(1_000);
-  cluster.kill(stays);
+  cluster.kill(remaining);
   t.ok(await isAccepted(cluster, 'after'));
 });
 
-void tap.default.test('a host whose seat was taken away hears of it', async (t) => {
-  // It would stand for election again and again, and say to its operators that it has a seat.
+void tap.default.test('a removed voter receives its removal', async (t) => {
+  // Otherwise it would keep starting elections and report to operators that it is a voter.
   const roles = await start(53);
   const { cluster, others } = roles;
-  const changed = swap(roles, others[0]);
+  const changed = replaceVoter(roles, others[0]);
   await cluster.clock.advance(1_500);
   await changed;
   t.notOk(cluster.nodes.get(others[0])!.voter!.hasSlot());
@@ -240,10 +243,10 @@
   t.ok(await isAccepted(cluster, 'after'));
 });
 
-void tap.default.test('a leader gives its own seat away and another leads', async (t) => {
+void tap.default.test('a leader removes itself and another one is elected', async (t) => {
   const roles = await start(59);
   const { cluster, leader } = roles;
-  const changed = swap(roles, leader.daemonId).catch(() => {});
+  const changed = replaceVoter(roles, leader.daemonId).catch(() => {});
   await cluster.clock.advance(3_000);
   await changed;
   t.notOk(leader.isLeader());
@@ -252,45 +255,42 @@
   t.ok(await isAccepted(cluster, 'after'));
 });
 
-void tap.default.test('a plan is made upon the seats of its turn', async (t) => {
-  // Two changes overlap: the second, planned upon the seats before the first, would give back what the first took.
+void tap.default.test('a change is computed from the voters at its start', async (t) => {
+  // Two changes overlap. If the second were computed from the voters before the first, it would undo the first.
   const { cluster, leader, others } = await start(61);
   const seen: string[][] = [];
-  const drop = (gone: string) =>
+  const drop = (removed: string) =>
     leader.leadership!.changeVoters((seats) => {
-      seen.push(seats.map((seat) => seat.daemonId).sort());
-      return seats.filter((seat) => seat.daemonId !== gone);
+      seen.push(seats.map((slot) => slot.daemonId).sort());
+      return seats.filter((slot) => slot.daemonId !== removed);
     });
   const both = Promise.all([drop(others[0]), drop(others[1])]);
   await cluster.clock.advance(2_000);
   await both;
   t.same(seen, [[...THREE], [leader.daemonId, others[1]].sort()]);
-  t.same(listSeats(leader), [leader.daemonId]);
+  t.same(listVoters(leader), [leader.daemonId]);
 });
 
-void tap.default.test(
-  'who votes is read back from disk, in the middle of a change too',
-  async (t) => {
-    const former = THREE.map((id) => ({ daemonId: id, voterId: id }));
-    const seats = [...former.slice(1), { daemonId: 'spare', voterId: 'spare' }];
-    const files = new fakes.MemoryFiles();
-    const wal = new consensus.Wal(files);
-    const rest = { term: 1, votedFor: null, entries: [] };
-    const snapshot = {
-      lastIndex: 4,
-      lastTerm: 1,
-      voters: seats,
-      formerVoters: former,
-      state: null,
-    };
-    await wal.compact(snapshot, () => rest);
-    const open = async () =>
-      new consensus.EntryLog(await new consensus.Wal(files.reopen()).recover(), former);
-    t.same((await open()).getVoterSet(), { seats, former }, 'from a snapshot');
-    const entry = { index: 5, term: 1, kind: 'voters' as const, data: { seats } };
-    await wal.append({ kind: 'entries', entries: [entry] });
-    t.same((await open()).getVoterSet(), { seats }, 'from an entry');
-    await wal.append({ kind: 'entries', entries: [{ ...entry, index: 6, data: former }] });
-    t.same((await open()).getVoterSet(), { seats: former }, 'from an entry of an earlier version');
-  },
-);
+void tap.default.test('the voter set is recovered from disk, also during a change', async (t) => {
+  const former = THREE.map((id) => ({ daemonId: id, voterId: id }));
+  const seats = [...former.slice(1), { daemonId: 'spare', voterId: 'spare' }];
+  const files = new fakes.MemoryFiles();
+  const wal = new consensus.Wal(files);
+  const rest = { term: 1, votedFor: null, entries: [] };
+  const snapshot = {
+    lastIndex: 4,
+    lastTerm: 1,
+    voters: seats,
+    formerVoters: former,
+    state: null,
+  };
+  await wal.compact(snapshot, () => rest);
+  const open = async () =>
+    new consensus.EntryLog(await new consensus.Wal(files.reopen()).recover(), former);
+  t.same((await open()).getVoterSet(), { seats, former }, 'from a snapshot');
+  const entry = { index: 5, term: 1, kind: 'voters' as const, data: { seats } };
+  await wal.append({ kind: 'entries', entries: [entry] });
+  t.same((await open()).getVoterSet(), { seats }, 'from an entry');
+  await wal.append({ kind: 'entries', entries: [{ ...entry, index: 6, data: former }] });
+  t.same((await open()).getVoterSet(), { seats: former }, 'from an entry of an earlier version');
+});
--- a/packages/consensus/tests/support/cluster.ts
+++ b/packages/consensus/tests/support/cluster.ts
@@ -5,7 +5,7 @@
 
 const TIMINGS: consensus.Timings = { electionMs: 300, leaseMs: 200 };
 
-/** How long a message may be under way, in milliseconds. */
+/** Deadline of a request, in milliseconds. */
 const DEADLINE_MS = 150;
 
 interface Node {
@@ -16,22 +16,24 @@
   abort: AbortController;
 }
 
-/** How bad the links are, each from 0 to 1. */
+/** Faults of the links. */
 export interface LinkFaults {
+  /** Probability that a message is lost, from 0 to 1. */
   lossRate: number;
+  /** Probability that a request is duplicated, from 0 to 1. */
   duplicateRate: number;
   maxDelayMs: number;
 }
 
-/** Voters in one process, on virtual time, over links that lose, double, delay and reorder messages. */
+/** Voters in one process, on virtual time, with links that lose, duplicate, delay and reorder messages. */
 export class Cluster {
   public readonly clock = new schemas.VirtualClock();
   public readonly nodes = new Map<string, Node>();
   public readonly faults: LinkFaults = { lossRate: 0, duplicateRate: 0, maxDelayMs: 5 };
   public snapshotEvery = 50;
-  private readonly cuts = new Set<string>();
+  private readonly blockedLinks = new Set<string>();
   private readonly rng: ReturnType<typeof xoroshiro.xoroshiro128plus>;
-  private isBreakingSync = false;
+  private isSyncBroken = false;
 
   public constructor(
     private readonly firstVoters: readonly string[],
@@ -40,26 +42,26 @@
     this.rng = xoroshiro.xoroshiro128plus(seed);
   }
 
-  /** A number from 0 up to 1. */
+  /** Returns a random number in [0, 1). */
   public random(): number {
     return (this.rng.next() >>> 0) / 2 ** 32;
   }
 
-  /** Lets `sync` lie, to prove that the history check notices. */
+  /** Makes `sync` a no-op, to validate that the history check detects it. */
   public breakSync(): void {
-    this.isBreakingSync = true;
+    this.isSyncBroken = true;
   }
 
-  /** Starts every first voter. */
+  /** Starts all initial voters. */
   public async startAll(): Promise<void> {
     this.firstVoters.forEach((id) => this.start(id));
     await this.clock.advance(2_000);
   }
 
-  /** Starts a voter on the files that it left, or on none. */
+  /** Starts a voter with its existing files, or with none. */
   public start(daemonId: string): void {
     const files = this.nodes.get(daemonId)?.files.reopen() ?? new fakes.MemoryFiles();
-    if (this.isBreakingSync) {
+    if (this.isSyncBroken) {
       files.breakSync();
     }
     const node: Node = {
@@ -75,7 +77,7 @@
     });
   }
 
-  /** Ends a voter as a killed process; unsynced bytes survive in part. */
+  /** Kills a voter; a random part of its unsynced bytes survives. */
   public kill(daemonId: string): void {
     const node = this.nodes.get(daemonId);
     node?.abort.abort(new Error('killed'));
@@ -83,23 +85,23 @@
     node?.files.crashAfter(0, this.random());
   }
 
-  /** Ends a voter and loses its disk. */
+  /** Kills a voter and erases its disk. */
   public loseDisk(daemonId: string): void {
     this.kill(daemonId);
     this.nodes.get(daemonId)?.files.wipe();
   }
 
-  /** Lets a voter crash at the n-th file operation from now. */
+  /** Makes a voter crash at the n-th file operation from now. */
   public crashInWrite(daemonId: string, calls: number): void {
     this.nodes.get(daemonId)?.files.crashAfter(calls, this.random());
   }
 
-  /** Cuts messages from one voter to another. */
+  /** Blocks messages from one voter to another. */
   public cut(from: string, to: string): void {
-    this.cuts.add(`${from}>${to}`);
+    this.blockedLinks.add(`${from}>${to}`);
   }
 
-  /** Cuts a voter off both ways. */
+  /** Partitions a voter from all others, in both directions. */
   public isolate(daemonId: string): void {
     this.nodes.forEach((_, other) => {
       this.cut(daemonId, other);
@@ -107,22 +109,22 @@
     });
   }
 
-  /** Mends every link. */
+  /** Unblocks all links. */
   public heal(): void {
-    this.cuts.clear();
+    this.blockedLinks.clear();
   }
 
-  /** The voters that lead now, in their own eyes. */
+  /** The voters that currently consider themselves leader. */
   public listLeaders(): consensus.Voter[] {
     return [...this.nodes.values()].flatMap((node) => (node.voter?.isLeader() ? [node.voter] : []));
   }
 
-  /** The leader of the highest term. */
+  /** The leader with the highest term. */
   public findLeader(): consensus.Voter | undefined {
     return this.listLeaders().sort((a, b) => b.term - a.term)[0];
   }
 
-  /** What a voter has applied. */
+  /** The commands that a voter has applied. */
   public getApplied(daemonId: string): readonly string[] {
     return this.nodes.get(daemonId)?.applied ?? [];
   }
@@ -196,7 +198,7 @@
 
   private async travel(from: string, to: string): Promise<void> {
     await this.clock.sleep(this.random() * this.faults.maxDelayMs);
-    if (this.cuts.has(`${from}>${to}`) || this.random() < this.faults.lossRate) {
+    if (this.blockedLinks.has(`${from}>${to}`) || this.random() < this.faults.lossRate) {
       await this.never();
     }
   }
@@ -208,7 +210,7 @@
 
 function getVoter(node: Node): consensus.Voter {
   if (node.voter === undefined) {
-    throw new Error('not a voter yet');
+    throw new Error('voter has not started yet');
   }
   return node.voter;
 }
--- a/packages/consensus/tests/support/history.ts
+++ b/packages/consensus/tests/support/history.ts
@@ -1,4 +1,4 @@
-/** A command as an operator saw it: it may have been lost, or accepted without the answer arriving. */
+/** A command as observed by an operator. If it is not accepted, it may be lost, or accepted with its response lost. */
 export interface WriteOp {
   readonly kind: 'write';
   readonly id: string;
@@ -7,7 +7,7 @@
   accepted: boolean;
 }
 
-/** A linearizable read of everything that is in force. */
+/** A linearizable read of the whole state. */
 export interface ReadOp {
   readonly kind: 'read';
   readonly from: number;
@@ -19,10 +19,10 @@
 export type Op = WriteOp | ReadOp;
 
 /**
- * Every way in which a history of an append-only list is not linearizable; none when it is. For such a list
- * it is enough that all reads are prefixes of one sequence, that no identifier stands there twice, that an
- * accepted command is seen by every read that began after its answer, that nothing is seen before it was
- * asked for, and that a read never sees less than one that had ended before it began.
+ * Lists the linearizability violations of a history of an append-only list. Such a history is linearizable if all reads
+ * are prefixes of one sequence, no identifier occurs twice in it, every read that began after the response to an
+ * accepted command contains the command, no read contains a command before it was requested, and no read contains less
+ * than another one that had ended before it began.
  */
 export function findViolations(history: readonly Op[]): string[] {
   const writes = history.filter((op) => op.kind === 'write');
@@ -31,28 +31,30 @@
     (best, read) => (read.seen.length > best.length ? read.seen : best),
     [],
   );
-  const faults: string[] = [];
+  const violations: string[] = [];
   if (new Set(longest).size !== longest.length) {
-    faults.push('a command took effect twice');
+    violations.push('a command was applied twice');
   }
   reads.forEach((read) => {
     if (read.seen.some((id, i) => id !== longest[i])) {
-      faults.push(`the read at ${read.from} saw another order than others`);
+      violations.push(`the read at ${read.from} saw a different order than other reads`);
     }
     writes.forEach((write) => {
       const isSeen = read.seen.includes(write.id);
       if (write.accepted && write.to < read.from && !isSeen) {
-        faults.push(`${write.id}, accepted at ${write.to}, was lost to the read at ${read.from}`);
+        violations.push(
+          `${write.id}, accepted at ${write.to}, is missing from the read at ${read.from}`,
+        );
       }
       if (write.from > read.to && isSeen) {
-        faults.push(`${write.id} was seen before it was asked for`);
+        violations.push(`${write.id} was seen before it was requested`);
       }
     });
     reads
       .filter((earlier) => earlier.to < read.from && earlier.seen.length > read.seen.length)
       .forEach((earlier) =>
-        faults.push(`the read at ${read.from} saw less than at ${earlier.from}`),
+        violations.push(`the read at ${read.from} saw less than the read at ${earlier.from}`),
       );
   });
-  return [...new Set(faults)];
+  return [...new Set(violations)];
 }
--- a/packages/consensus/tests/support/schedule.ts
+++ b/packages/consensus/tests/support/schedule.ts
@@ -4,19 +4,20 @@
 import * as clusters from './cluster.js';
 import type * as histories from './history.js';
 
-/** The voters of a drawn schedule. */
+/** The initial voters of a generated schedule. */
 export const VOTERS = ['v1', 'v2', 'v3', 'v4', 'v5'];
+/** Duration of one step of a schedule, in milliseconds. */
 const STEP_MS = 120;
 
-/** How many steps the voters are given to settle at the end. */
+/** Minimum number of steps at the end for the voters to recover. */
 const SETTLE_STEPS = 20;
 
-const NO_SEATS: consensus.VoterSet = { seats: [] };
+const EMPTY_VOTER_SET: consensus.VoterSet = { seats: [] };
 
-/** How many disks five voters may lose at once. */
-const MOST_WIPED = 2;
+/** Number of disks that five voters may lose at once. */
+const MAX_LOST_DISKS = 2;
 
-/** What may happen between two steps of a schedule. */
+/** A fault that is injected between two steps of a schedule. */
 export type Fault =
   | {
       readonly kind: 'kill' | 'isolate' | 'crash-in-write' | 'wipe' | 'replace';
@@ -25,7 +26,7 @@
   | { readonly kind: 'one-way'; readonly at: number; readonly to: number }
   | { readonly kind: 'kill-leader' | 'isolate-leader' | 'heal' | 'restart' | 'none' };
 
-/** Any fault but the loss of a disk. */
+/** Any fault except the loss of a disk. */
 export const faultArbitrary: fc.Arbitrary<Fault> = fc.oneof(
   fc.record({
     kind: fc.constantFrom('kill' as const, 'isolate' as const, 'crash-in-write' as const),
@@ -47,28 +48,28 @@
   }),
 );
 
-/** One schedule under way: its faults, what operators ask for meanwhile, and what they saw. */
+/** One run of a schedule: injects its faults and records the operations that operators perform meanwhile. */
 export class ScheduleRun {
   public readonly history: histories.Op[] = [];
   public leaseViolations = 0;
   public wipes = 0;
   public replaced = 0;
-  /** When the last fault was over and everything was up again. */
+  /** When all faults were repaired and all hosts restarted. */
   public recoveredAt = 0;
-  /** Of those that are not gone for good. */
+  /** The hosts that are not permanently lost. */
   private readonly names = [...VOTERS];
   private readonly down = new Set<string>();
-  /** Hosts that lost their disk and were not yet seen to be seated anew. */
+  /** Hosts that lost their disk and have not been seen with a voter slot since. */
   private readonly wiped = new Set<string>();
   private count = 0;
 
   public constructor(
     public readonly cluster: clusters.Cluster,
-    /** How long a seat may be silent before another host takes it, in milliseconds. */
-    private readonly patienceMs: number,
+    /** How long a voter may lag before another host gets its slot, in milliseconds. */
+    private readonly replaceAfterMs: number,
   ) {}
 
-  /** Whether a command was accepted that was given after all was mended. */
+  /** Whether a command was accepted that was proposed after all faults were repaired. */
   public isServing(): boolean {
     return this.history.some(
       (op) => op.kind === 'write' && op.accepted && op.from > this.recoveredAt,
@@ -136,7 +137,7 @@
     }
   }
 
-  /** Has the leader look the seats over, as a core host does; a host that lost its disk is seated anew. */
+  /** Makes the leader plan the voter slots, as a core host does; a host that lost its disk gets a slot again. */
   public async repairVoterSlots(): Promise<void> {
     const leader = this.cluster.findLeader();
     const leadership = leader?.leadership;
@@ -148,29 +149,29 @@
         ? []
         : [{ daemonId, voterId: voter.voterId, silentMs: 0 }],
     );
-    // One that is cut short is planned again at the next step.
+    // An interrupted change is planned again at the next step.
     await leadership
       .changeVoters((seats) =>
         consensus.planVoterSlots({
-          slots: seats.map((seat) => ({ ...seat, silentMs: leadership.getLagMs(seat) })),
+          slots: seats.map((slot) => ({ ...slot, silentMs: leadership.getLagMs(slot) })),
           candidates,
           slotCount: VOTERS.length,
-          replaceAfterMs: this.patienceMs,
+          replaceAfterMs: this.replaceAfterMs,
           liveMs: 1_000,
         }),
       )
       .catch(() => {});
   }
 
-  /** Loses a disk, unless that would be one more than may be lost before the others are made good. */
+  /** Erases a disk, unless too many hosts with an erased disk are still without a voter slot. */
   private wipe(id: string): void {
-    const seated = this.cluster.findLeader()?.entries.getVoters() ?? [];
+    const voters = this.cluster.findLeader()?.entries.getVoters() ?? [];
     [...this.wiped]
       .filter((other) =>
-        seated.some((seat) => seat.voterId === this.cluster.nodes.get(other)?.voter?.voterId),
+        voters.some((slot) => slot.voterId === this.cluster.nodes.get(other)?.voter?.voterId),
       )
       .forEach((other) => this.wiped.delete(other));
-    if (seated.length > 0 && (this.wiped.has(id) || this.wiped.size < MOST_WIPED)) {
+    if (voters.length > 0 && (this.wiped.has(id) || this.wiped.size < MAX_LOST_DISKS)) {
       this.cluster.loseDisk(id);
       this.cluster.start(id);
       this.wiped.add(id);
@@ -179,22 +180,23 @@
   }
 
   /**
-   * Has a host go for good and an empty one stand in for it, unless that would be one disk more than may be lost: every
-   * seat whose folder is gone counts until somebody else has it, and the change that gives it is committed. Before that
-   * the former voters must agree too, and a third of five that is lost then leaves them without a majority for good, as
-   * without any change.
+   * Replaces a host permanently by an empty one, unless more disks would be lost than five voters tolerate. A slot
+   * whose data directory is lost counts until the change that reassigns it is committed. Until then the former voters
+   * must agree too, and the loss of a third host would leave the five without a majority permanently, as without a
+   * change.
    */
   private replace(at: number): void {
-    const folders = new Set(
+    const directories = new Set(
       this.names.map((name) => this.cluster.nodes.get(name)?.voter?.voterId).filter(Boolean),
     );
     const leader = this.cluster.findLeader();
-    const { seats, former = [] } = leader?.entries.getVoterSetAt(leader.commitIndex) ?? NO_SEATS;
+    const { seats, former = [] } =
+      leader?.entries.getVoterSetAt(leader.commitIndex) ?? EMPTY_VOTER_SET;
     const countLost = (group: readonly consensus.VoterSlot[]) =>
-      group.filter((seat) => !folders.has(seat.voterId)).length;
+      group.filter((slot) => !directories.has(slot.voterId)).length;
     const lost = Math.max(countLost(seats), countLost(former));
-    const isSettled = folders.size === this.names.length;
-    if (seats.length === 0 || !isSettled || lost >= MOST_WIPED) {
+    const isSettled = directories.size === this.names.length;
+    if (seats.length === 0 || !isSettled || lost >= MAX_LOST_DISKS) {
       return;
     }
     this.cluster.kill(this.names[at]!);
@@ -239,25 +241,25 @@
       const seen = [...this.cluster.getApplied(leader.daemonId)];
       this.history.push({ kind: 'read', from, to: this.cluster.clock.now(), seen });
     } catch {
-      // It was not answered, so it says nothing.
+      // A read without a response says nothing about the history.
     }
   }
 }
 
-/** What a schedule may ask for beside its faults. */
+/** Options of a schedule besides its faults. */
 export interface SettleOptions {
-  /** How long a seat may be silent before another host takes it, in milliseconds. */
+  /** How long a voter may lag before another host gets its slot, in milliseconds. */
   readonly replaceAfterMs?: number;
-  /** How many steps the voters get at most until a command is accepted again. */
+  /** Maximum number of steps until a command must be accepted again. */
   readonly settleSteps?: number;
 }
 
-/** Plays a schedule, then mends everything and lets the voters settle. */
+/** Runs a schedule, then repairs all faults and lets the voters recover. */
 export async function runSchedule(
   seed: number,
   faults: readonly Fault[],
   prepare: (cluster: clusters.Cluster) => void = () => {},
-  { replaceAfterMs: patienceMs = Infinity, settleSteps = SETTLE_STEPS }: SettleOptions = {},
+  { replaceAfterMs = Infinity, settleSteps = SETTLE_STEPS }: SettleOptions = {},
 ): Promise<ScheduleRun> {
   const cluster = new clusters.Cluster(VOTERS, seed);
   prepare(cluster);
@@ -265,7 +267,7 @@
   cluster.faults.lossRate = 0.02;
   cluster.faults.duplicateRate = 0.05;
   cluster.faults.maxDelayMs = 40;
-  const run = new ScheduleRun(cluster, patienceMs);
+  const run = new ScheduleRun(cluster, replaceAfterMs);
   for (const fault of faults) {
     run.inject(fault);
     void run.repairVoterSlots();
