--- a/packages/consensus/src/entry-log.ts
+++ b/packages/consensus/src/entry-log.ts
@@ -5,14 +5,14 @@
 /** The log entries that a voter keeps in memory, after its last snapshot. */
 export class EntryLog {
   private entries: types.Entry[];
-  private base: { index: number; term: number; seating: types.VoterSet };
+  private base: { index: number; term: number; voterSet: types.VoterSet };
 
   public constructor(recovered: wal.RecoveredState, genesis: readonly types.VoterSlot[]) {
     const { snapshot } = recovered;
     this.base = {
       index: snapshot?.lastIndex ?? 0,
       term: snapshot?.lastTerm ?? 0,
-      seating: snapshot === undefined ? { seats: [...genesis] } : getSnapshotSeating(snapshot),
+      voterSet: snapshot === undefined ? { seats: [...genesis] } : getSnapshotVoterSet(snapshot),
     };
     this.entries = recovered.entries;
   }
@@ -75,7 +75,7 @@
   public getVoterSetAt(index: number): types.VoterSet {
     const changes = this.entries.filter((item) => item.kind === 'voters' && item.index <= index);
     const last = changes.at(-1);
-    return last === undefined ? this.base.seating : readSeating(last.data);
+    return last === undefined ? this.base.voterSet : readVoterSet(last.data);
   }
 
   /** The quorum of the current voter set. */
@@ -96,9 +96,9 @@
   /** Discards the entries up to an index, which a snapshot covers. */
   public compactTo(index: number): void {
     const term = this.findTerm(index) ?? this.base.term;
-    const seating = this.getVoterSetAt(index);
+    const voterSet = this.getVoterSetAt(index);
     this.entries = this.entries.filter((item) => item.index > index);
-    this.base = { index, term, seating };
+    this.base = { index, term, voterSet };
   }
 
   /** Replaces the whole log by a snapshot from the leader. */
@@ -107,18 +107,18 @@
     this.base = {
       index: snapshot.lastIndex,
       term: snapshot.lastTerm,
-      seating: getSnapshotSeating(snapshot),
+      voterSet: getSnapshotVoterSet(snapshot),
     };
   }
 }
 
-function getSnapshotSeating({ voters, formerVoters }: wal.Snapshot): types.VoterSet {
+function getSnapshotVoterSet({ voters, formerVoters }: wal.Snapshot): types.VoterSet {
   return formerVoters === undefined
     ? { seats: [...voters] }
     : { seats: [...voters], former: [...formerVoters] };
 }
 
 /** Reads a voter set entry. Logs of earlier versions contain a plain list of voters instead. */
-function readSeating(data: unknown): types.VoterSet {
+function readVoterSet(data: unknown): types.VoterSet {
   return Array.isArray(data) ? { seats: data as types.VoterSlot[] } : (data as types.VoterSet);
 }
--- a/packages/consensus/src/genesis.ts
+++ b/packages/consensus/src/genesis.ts
@@ -64,7 +64,16 @@
  * founders only join: otherwise three empty hosts that know only each other would bootstrap a second log.
  */
 export async function agreeGenesis(options: GenesisOptions): Promise<Genesis> {
-  const { files, identity, daemonId, founders, listPeers, fetchGenesis, clock, signal } = options;
+  const {
+    files,
+    identity,
+    daemonId,
+    founders,
+    listPeers,
+    fetchGenesis: fetchFrom,
+    clock,
+    signal,
+  } = options;
   if (identity.voters.length > 0) {
     return identity;
   }
@@ -74,13 +83,15 @@
     const others = [...new Set([...otherFounders, ...listPeers()])].filter(
       (peer) => peer !== daemonId,
     );
-    const answers = await Promise.all(
-      others.map((peer) => fetchGenesis(peer).catch(() => undefined)),
+    const responses = await Promise.all(
+      others.map((peer) => fetchFrom(peer).catch(() => undefined)),
+    );
+    const agreed = responses.find(
+      (response) => response !== undefined && response.voters.length > 0,
     );
-    const agreed = answers.find((answer) => answer !== undefined && answer.voters.length > 0);
     const voters =
       agreed?.voters ??
-      (isInitiator ? collectVoters(daemonId, identity, otherFounders, answers) : undefined);
+      (isInitiator ? collectVoters(daemonId, identity, otherFounders, responses) : undefined);
     if (voters !== undefined) {
       const genesis: Genesis = { voterId: identity.voterId, voters };
       await files.replace(GENESIS_FILE, batchFrame.encodeBatch(genesis));
@@ -94,9 +105,9 @@
   daemonId: string,
   identity: Genesis,
   others: readonly string[],
-  answers: readonly (Genesis | undefined)[],
+  responses: readonly (Genesis | undefined)[],
 ): types.VoterSlot[] | undefined {
-  const slots = others.map((peer, i) => ({ daemonId: peer, voterId: answers[i]?.voterId }));
+  const slots = others.map((peer, i) => ({ daemonId: peer, voterId: responses[i]?.voterId }));
   const isWhole = slots.every((slot) => slot.voterId !== undefined);
   return isWhole
     ? [{ daemonId, voterId: identity.voterId }, ...(slots as types.VoterSlot[])]
--- a/packages/consensus/src/plan-voter-slots.ts
+++ b/packages/consensus/src/plan-voter-slots.ts
@@ -53,10 +53,10 @@
   private readonly unavailable: readonly OccupiedVoterSlot[];
 
   public constructor(private readonly input: VoterSlotPlanInput) {
-    const { slots } = input;
+    const { slots: current } = input;
     this.spares = this.listSpares();
     // A lost data directory does not come back, so its slot is not retained.
-    const kept = slots.filter(({ daemonId }) => !this.wasRecreated(daemonId));
+    const kept = current.filter(({ daemonId }) => !this.wasRecreated(daemonId));
     this.retained = kept.filter((slot) => !this.isUnavailable(slot));
     this.unavailable = kept
       .filter((slot) => this.isUnavailable(slot))
@@ -111,14 +111,14 @@
    * lost.
    */
   private listSpares(): VoterSlotCandidate[] {
-    const { candidates, liveMs, slots } = this.input;
+    const { candidates, liveMs, slots: current } = this.input;
     const holdsSlot = (host: types.VoterSlot) =>
-      slots.some((slot) => slot.voterId === host.voterId);
+      current.some((slot) => slot.voterId === host.voterId);
     const spares = candidates.filter(
       (host) => host.silentMs <= liveMs && host.isLeaving !== true && !holdsSlot(host),
     );
     const hadSlot = (host: types.VoterSlot) =>
-      Number(slots.some((slot) => slot.daemonId === host.daemonId));
+      Number(current.some((slot) => slot.daemonId === host.daemonId));
     return spares.sort((a, b) => hadSlot(b) - hadSlot(a));
   }
 
--- a/packages/consensus/src/quorum.ts
+++ b/packages/consensus/src/quorum.ts
@@ -10,17 +10,17 @@
 
   /** All voters of both groups, without duplicates. */
   public listVoters(): types.VoterSlot[] {
-    const byId = new Map(this.groups.flat().map((seat) => [seat.voterId, seat]));
+    const byId = new Map(this.groups.flat().map((slot) => [slot.voterId, slot]));
     return [...byId.values()];
   }
 
   /** Whether a majority of each group satisfies a predicate. */
-  public isReached(predicate: (seat: types.VoterSlot) => boolean): boolean {
+  public isReached(predicate: (slot: types.VoterSlot) => boolean): boolean {
     return this.groups.every((group) => group.filter(predicate).length >= getMajority(group));
   }
 
   /** The highest value that a majority of each group has reached or exceeded. */
-  public getReachedValue(getValue: (seat: types.VoterSlot) => number): number {
+  public getReachedValue(getValue: (slot: types.VoterSlot) => number): number {
     const reached = this.groups.map((group) => {
       const values = group.map(getValue).sort((a, b) => b - a);
       return values[getMajority(group) - 1] ?? -Infinity;
@@ -29,7 +29,7 @@
   }
 
   /** How many more voters may fail, whichever they are, without losing a majority; negative if it is already lost. */
-  public countTolerableLosses(isAvailable: (seat: types.VoterSlot) => boolean): number {
+  public countTolerableLosses(isAvailable: (slot: types.VoterSlot) => boolean): number {
     const margins = this.groups.map(
       (group) => group.filter(isAvailable).length - getMajority(group),
     );
--- a/packages/consensus/src/wal.ts
+++ b/packages/consensus/src/wal.ts
@@ -132,10 +132,10 @@
   return snapshot as Snapshot;
 }
 
-function replay(found: RecoveredState, record: WalRecord): void {
+function replay(state: RecoveredState, record: WalRecord): void {
   if (record.kind === 'vote') {
-    found.term = record.term;
-    found.votedFor = record.votedFor;
+    state.term = record.term;
+    state.votedFor = record.votedFor;
     return;
   }
   const first = record.entries[0];
@@ -143,6 +143,6 @@
     return;
   }
   // Truncates the log from the index of the first entry, as the in-memory log did.
-  found.entries = found.entries.filter((entry) => entry.index < first.index);
-  found.entries.push(...record.entries);
+  state.entries = state.entries.filter((entry) => entry.index < first.index);
+  state.entries.push(...record.entries);
 }
--- a/packages/consensus/tests/membership-change.test.ts
+++ b/packages/consensus/tests/membership-change.test.ts
@@ -33,8 +33,8 @@
 
 /** Replaces one voter by the spare host. */
 function replaceVoter({ cluster, leader }: Roles, removed: string): Promise<void> {
-  return leader.leadership!.changeVoters((seats) => [
-    ...seats.filter((slot) => slot.daemonId !== removed),
+  return leader.leadership!.changeVoters((voters) => [
+    ...voters.filter((slot) => slot.daemonId !== removed),
     getSlot(cluster, 'spare'),
   ]);
 }
@@ -77,8 +77,8 @@
       await cluster.clock.advance(at);
       others.forEach((other) => {
         [leader.daemonId, 'spare'].forEach((id) => {
-          cluster.cut(id, other);
-          cluster.cut(other, id);
+          cluster.block(id, other);
+          cluster.block(other, id);
         });
       });
       let leased = 0;
@@ -134,11 +134,11 @@
     await cluster.clock.advance(2_000);
     const voterSet = cluster.findLeader()!.entries.getVoterSet();
     t.equal(voterSet.former, undefined, `after ${at} ms: there is one group of voters`);
-    const seats = listVoters(cluster.findLeader());
+    const voters = listVoters(cluster.findLeader());
     const wanted = [[leader.daemonId, remaining, 'spare'].sort(), [...THREE]];
     t.ok(
-      wanted.some((item) => item.join() === seats.join()),
-      `after ${at} ms: ${seats}`,
+      wanted.some((item) => item.join() === voters.join()),
+      `after ${at} ms: ${voters}`,
     );
   }
 });
@@ -198,7 +198,7 @@
   while (leader.entries.getVoterSet().former === undefined) {
     await cluster.clock.advance(1);
   }
-  cluster.cut(leader.daemonId, 'spare');
+  cluster.block(leader.daemonId, 'spare');
   await cluster.clock.advance(200);
   t.notOk(isOver, 'the change waits for the replacement');
   cluster.heal();
@@ -260,9 +260,9 @@
   const { cluster, leader, others } = await start(61);
   const seen: string[][] = [];
   const drop = (removed: string) =>
-    leader.leadership!.changeVoters((seats) => {
-      seen.push(seats.map((slot) => slot.daemonId).sort());
-      return seats.filter((slot) => slot.daemonId !== removed);
+    leader.leadership!.changeVoters((voters) => {
+      seen.push(voters.map((slot) => slot.daemonId).sort());
+      return voters.filter((slot) => slot.daemonId !== removed);
     });
   const both = Promise.all([drop(others[0]), drop(others[1])]);
   await cluster.clock.advance(2_000);
--- a/packages/consensus/tests/support/cluster.ts
+++ b/packages/consensus/tests/support/cluster.ts
@@ -97,15 +97,15 @@
   }
 
   /** Blocks messages from one voter to another. */
-  public cut(from: string, to: string): void {
+  public block(from: string, to: string): void {
     this.blockedLinks.add(`${from}>${to}`);
   }
 
   /** Partitions a voter from all others, in both directions. */
   public isolate(daemonId: string): void {
     this.nodes.forEach((_, other) => {
-      this.cut(daemonId, other);
-      this.cut(other, daemonId);
+      this.block(daemonId, other);
+      this.block(other, daemonId);
     });
   }
 
@@ -186,17 +186,17 @@
     to: string,
     handle: (node: Node) => Promise<T>,
   ): Promise<T> {
-    await this.travel(from, to);
+    await this.transmit(from, to);
     const node = this.nodes.get(to);
     if (node === undefined || node.abort.signal.aborted) {
       return this.never();
     }
     const answer = await handle(node).catch(() => this.never<T>());
-    await this.travel(to, from);
+    await this.transmit(to, from);
     return answer;
   }
 
-  private async travel(from: string, to: string): Promise<void> {
+  private async transmit(from: string, to: string): Promise<void> {
     await this.clock.sleep(this.random() * this.faults.maxDelayMs);
     if (this.blockedLinks.has(`${from}>${to}`) || this.random() < this.faults.lossRate) {
       await this.never();
--- a/packages/consensus/tests/support/schedule.ts
+++ b/packages/consensus/tests/support/schedule.ts
@@ -98,7 +98,7 @@
         this.down.add(this.names[fault.at]!);
         break;
       case 'one-way':
-        this.cluster.cut(this.names[fault.at]!, this.names[fault.to]!);
+        this.cluster.block(this.names[fault.at]!, this.names[fault.to]!);
         break;
       case 'wipe':
         this.wipe(this.names[fault.at]!);
@@ -259,7 +259,7 @@
   seed: number,
   faults: readonly Fault[],
   prepare: (cluster: clusters.Cluster) => void = () => {},
-  { replaceAfterMs = Infinity, settleSteps = SETTLE_STEPS }: SettleOptions = {},
+  { replaceAfterMs: maxLagMs = Infinity, settleSteps = SETTLE_STEPS }: SettleOptions = {},
 ): Promise<ScheduleRun> {
   const cluster = new clusters.Cluster(VOTERS, seed);
   prepare(cluster);
@@ -267,7 +267,7 @@
   cluster.faults.lossRate = 0.02;
   cluster.faults.duplicateRate = 0.05;
   cluster.faults.maxDelayMs = 40;
-  const run = new ScheduleRun(cluster, replaceAfterMs);
+  const run = new ScheduleRun(cluster, maxLagMs);
   for (const fault of faults) {
     run.inject(fault);
     void run.repairVoterSlots();
--- a/packages/consensus/tests/voter.test.ts
+++ b/packages/consensus/tests/voter.test.ts
@@ -87,7 +87,7 @@
   await cluster.startAll();
   const leader = cluster.findLeader()!;
   const receiver = THREE.find((id) => id !== leader.daemonId)!;
-  THREE.forEach((id) => cluster.cut(id, receiver));
+  THREE.forEach((id) => cluster.block(id, receiver));
   const before = leader.term;
   await cluster.clock.advance(20_000);
   t.equal(cluster.findLeader()?.daemonId, leader.daemonId);
@@ -127,7 +127,7 @@
 });
 
 /** Whether a voter grants its vote to a candidate of the next term with the same log. */
-async function askVote(cluster: clusters.Cluster, at: string, pre: boolean): Promise<boolean> {
+async function requestVote(cluster: clusters.Cluster, at: string, pre: boolean): Promise<boolean> {
   const voter = cluster.nodes.get(at)!.voter!;
   const res = await voter.handleVote({
     pre,
@@ -147,17 +147,20 @@
   const leader = cluster.findLeader()!.daemonId;
   const [second, third] = THREE.filter((id) => id !== leader) as [string, string];
   t.notOk(
-    await askVote(cluster, second, true),
+    await requestVote(cluster, second, true),
     'no pre-vote while it is in contact with the leader',
   );
-  t.notOk(await askVote(cluster, second, false), 'no vote while it is in contact with the leader');
+  t.notOk(
+    await requestVote(cluster, second, false),
+    'no vote while it is in contact with the leader',
+  );
   cluster.kill(third);
   cluster.start(third);
-  THREE.forEach((id) => cluster.cut(id, third));
+  THREE.forEach((id) => cluster.block(id, third));
   await cluster.clock.advance(50);
-  t.notOk(await askVote(cluster, third, false), 'no vote right after a restart');
+  t.notOk(await requestVote(cluster, third, false), 'no vote right after a restart');
   await cluster.clock.advance(350);
-  t.ok(await askVote(cluster, third, false), 'a vote after an election timeout');
+  t.ok(await requestVote(cluster, third, false), 'a vote after an election timeout');
 });
 
 void tap.default.test(
@@ -182,7 +185,7 @@
     );
     await cluster.clock.advance(3_000);
     t.notOk(isAccepted, 'the command is not accepted');
-    t.notOk(await askVote(cluster, second, false), 'and the data directory grants no vote');
+    t.notOk(await requestVote(cluster, second, false), 'and the data directory grants no vote');
   },
 );
 
--- a/packages/intents/src/control-state.ts
+++ b/packages/intents/src/control-state.ts
@@ -10,7 +10,7 @@
 const MAX_PLANS = 200;
 
 /** Maximum number of command results kept to answer repeated commands. */
-const MAX_ANSWERS = 5_000;
+const MAX_RESULTS = 5_000;
 
 /** Number of deltas kept for hosts that are a few revisions behind. */
 const MAX_DELTAS = 256;
@@ -32,22 +32,22 @@
 export class ControlState {
   private configuration: schemas.Configuration = createEmptyConfiguration();
   private plans = new Map<string, StoredPlan>();
-  private answers = new Map<string, schemas.CommandResult>();
+  private results = new Map<string, schemas.CommandResult>();
   private deltas: schemas.Delta[] = [];
 
   /** Applies one command; `index` is its log index. */
   public apply(command: schemas.Command, index: number): schemas.CommandResult {
-    const answerKey = `${command.operator}/${command.requestId}`;
+    const resultKey = `${command.operator}/${command.requestId}`;
     // An operator that has lost the response repeats the command. Without the stored result a second plan would be
     // created, or a successful confirmation would be reported as refused.
-    const known = this.answers.get(answerKey);
+    const known = this.results.get(resultKey);
     if (known !== undefined) {
       return known;
     }
     this.expirePlans(command.at);
     const result = this.execute(command, index);
-    this.answers.set(answerKey, result);
-    evictOldest(this.answers, MAX_ANSWERS);
+    this.results.set(resultKey, result);
+    evictOldest(this.results, MAX_RESULTS);
     return result;
   }
 
@@ -73,7 +73,7 @@
     return {
       configuration: this.configuration,
       plans: [...this.plans.values()],
-      answers: [...this.answers],
+      answers: [...this.results],
       deltas: this.deltas,
     };
   }
@@ -82,7 +82,7 @@
   public restore(snapshot: ControlSnapshot): void {
     this.configuration = snapshot.configuration;
     this.plans = new Map(snapshot.plans.map((plan) => [plan.planId, plan]));
-    this.answers = new Map(snapshot.answers);
+    this.results = new Map(snapshot.answers);
     this.deltas = [...snapshot.deltas];
   }
 
--- a/packages/members/src/member-lifecycle.ts
+++ b/packages/members/src/member-lifecycle.ts
@@ -6,7 +6,7 @@
 const TRANSITIONS: schemas.Moves<schemas.MemberState, MemberEvent> = {
   live: { hear: 'live', miss: 'suspect', leave: 'leaving' },
   suspect: { hear: 'live', leave: 'leaving', drop: 'gone' },
-  // A host that has announced its shutdown stays `leaving`, even if a delayed heartbeat says otherwise.
+  // A host that has announced its shutdown stays `leaving`, even if a delayed heartbeat reports otherwise.
   leaving: { leave: 'leaving', hear: 'leaving', miss: 'leaving', drop: 'gone' },
   gone: {},
 };
--- a/packages/members/src/sync-client.ts
+++ b/packages/members/src/sync-client.ts
@@ -99,14 +99,15 @@
   private async loadHighestRevision(): Promise<void> {
     const { clock, heartbeatMs, store } = this.options;
     for (let round = 0; !this.isStopped && !store.isReady(); round += 1) {
-      const answers = await Promise.all(
+      const responses = await Promise.all(
         this.listInitialPeers().map((peer) => this.queryPeer(peer)),
       );
-      const received = answers.filter((answer) => answer !== undefined);
+      const received = responses.filter((response) => response !== undefined);
       const hasVoterConfirmation = received.some(
-        (answer) => answer.ageMs < heartbeatMs * AVOID_HEARTBEATS,
+        (response) => response.ageMs < heartbeatMs * AVOID_HEARTBEATS,
       );
-      const isIsolated = round >= ISOLATED_ROUNDS && received.some((answer) => answer.revision > 0);
+      const isIsolated =
+        round >= ISOLATED_ROUNDS && received.some((response) => response.revision > 0);
       if (hasVoterConfirmation || isIsolated || this.options.isVoter) {
         store.markReady();
       } else {
