--- a/packages/consensus/src/entry-log.ts
+++ b/packages/consensus/src/entry-log.ts
@@ -5,14 +5,14 @@
 /** The log entries that a voter keeps in memory, after its last snapshot. */
 export class EntryLog {
   private entries: types.Entry[];
-  private base: { index: number; term: number; voterSet: types.VoterSet };
+  private base: { index: number; term: number; seating: types.VoterSet };
 
   public constructor(recovered: wal.RecoveredState, genesis: readonly types.VoterSlot[]) {
     const { snapshot } = recovered;
     this.base = {
       index: snapshot?.lastIndex ?? 0,
       term: snapshot?.lastTerm ?? 0,
-      voterSet: snapshot === undefined ? { seats: [...genesis] } : getSnapshotVoterSet(snapshot),
+      seating: snapshot === undefined ? { seats: [...genesis] } : getSnapshotVoterSet(snapshot),
     };
     this.entries = recovered.entries;
   }
@@ -75,7 +75,7 @@
   public getVoterSetAt(index: number): types.VoterSet {
     const changes = this.entries.filter((item) => item.kind === 'voters' && item.index <= index);
     const last = changes.at(-1);
-    return last === undefined ? this.base.voterSet : readVoterSet(last.data);
+    return last === undefined ? this.base.seating : readVoterSet(last.data);
   }
 
   /** The quorum of the current voter set. */
@@ -98,7 +98,7 @@
     const term = this.findTerm(index) ?? this.base.term;
     const voterSet = this.getVoterSetAt(index);
     this.entries = this.entries.filter((item) => item.index > index);
-    this.base = { index, term, voterSet };
+    this.base = { index, term, seating: voterSet };
   }
 
   /** Replaces the whole log by a snapshot from the leader. */
@@ -107,7 +107,7 @@
     this.base = {
       index: snapshot.lastIndex,
       term: snapshot.lastTerm,
-      voterSet: getSnapshotVoterSet(snapshot),
+      seating: getSnapshotVoterSet(snapshot),
     };
   }
 }
--- a/packages/consensus/src/membership-change.ts
+++ b/packages/consensus/src/membership-change.ts
@@ -5,14 +5,14 @@
 import type * as voters from './voter.js';
 
 /**
- * How long a new voter may be unresponsive before the change is abandoned, in election timeouts. One lost message takes
- * up a quarter of this time.
+ * How long a new voter may be unresponsive before the change is abandoned, in election timeouts. With less a single lost
+ * message, which costs a request deadline and a heartbeat interval, could abandon it.
  */
 const UNRESPONSIVE_ELECTIONS = 2;
 
 /**
- * How long a responsive new voter may take to catch up, in election timeouts: 6 s, enough for a snapshot over a slow
- * link.
+ * How long a responsive new voter may take to catch up, in election timeouts: 6 s with a timeout of 600 ms, enough for
+ * a snapshot over a slow link.
  */
 const CATCH_UP_ELECTIONS = 10;
 
