--- a/packages/gateway/src/core-discovery.ts
+++ b/packages/gateway/src/core-discovery.ts
@@ -3,69 +3,69 @@
 import type * as coreGroups from './core-group.js';
 import type * as coreMeshes from './core-mesh.js';
 import type * as procedures from './core-procedures.js';
-import type * as coreTables from './core-host-registry.js';
+import type * as coreHostRegistries from './core-host-registry.js';
 
-/** How often core hosts greet each other, in milliseconds. */
-const HELLO_MS = 400;
+/** Interval between announcements to the other core hosts, in milliseconds; voters count as live after three of them. */
+const ANNOUNCE_INTERVAL_MS = 400;
 
-/** What greeting needs. */
+/** Options of `CoreDiscovery`. */
 export interface CoreDiscoveryOptions {
   readonly coreId: string;
   readonly availabilityZone: string;
   readonly group: coreGroups.CoreGroup;
-  readonly registry: coreTables.CoreHostRegistry;
+  readonly registry: coreHostRegistries.CoreHostRegistry;
   readonly mesh: coreMeshes.CorePeers;
   readonly listSeeds: () => readonly string[];
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
 }
 
-/** Tells the other core hosts that this one is there, and learns from them who else is. */
+/** Announces this core host to the others and collects the names of the core hosts that they know. */
 export class CoreDiscovery {
   private isStopped = false;
 
   public constructor(private readonly options: CoreDiscoveryOptions) {}
 
-  /** Greets until stopped. */
+  /** Announces this host at a fixed interval until stopped. */
   public async run(): Promise<void> {
-    const { clock, listSeeds, registry: table } = this.options;
+    const { clock, listSeeds, registry } = this.options;
     while (!this.isStopped) {
-      table.addNames(listSeeds());
+      registry.addNames(listSeeds());
       this.announceAll();
-      await clock.sleep(HELLO_MS);
+      await clock.sleep(ANNOUNCE_INTERVAL_MS);
     }
   }
 
-  /** Greets everyone at once. */
+  /** Announces this host to every known core host, without waiting for their answers. */
   public announceAll(): void {
     this.options.registry.listOthers().forEach((coreId) => {
-      void this.greet(coreId);
+      void this.announce(coreId);
     });
   }
 
-  /** Ends the task. */
+  /** Stops the announcements. */
   public stop(): void {
     this.isStopped = true;
   }
 
-  /** Answers another core host. */
+  /** Handles an announcement from another core host. */
   public handleHello(req: procedures.HelloReq): procedures.HelloRes {
-    const { group, registry: table } = this.options;
-    table.recordAnnouncement(req);
-    table.addNames(req.known);
-    return { known: table.listAll(), leader: group.voter?.leader };
+    const { group, registry } = this.options;
+    registry.recordAnnouncement(req);
+    registry.addNames(req.known);
+    return { known: registry.listAll(), leader: group.voter?.leader };
   }
 
-  private async greet(peer: string): Promise<void> {
-    const { availabilityZone, coreId, group, log, mesh, registry: table } = this.options;
+  private async announce(peer: string): Promise<void> {
+    const { availabilityZone, coreId, group, log, mesh, registry } = this.options;
     try {
       const { voterId } = group.getIdentity();
       const { isLeaving } = group.membership;
-      const known = table.listAll();
-      const greeting = { coreId, voterId, availabilityZone, isLeaving, known };
-      const res = await mesh.get(peer).hello.mutate(greeting);
-      table.addNames(res.known);
-      table.leaderHint = res.leader ?? table.leaderHint;
+      const known = registry.listAll();
+      const announcement = { coreId, voterId, availabilityZone, isLeaving, known };
+      const res = await mesh.get(peer).hello.mutate(announcement);
+      registry.addNames(res.known);
+      registry.leaderHint = res.leader ?? registry.leaderHint;
     } catch (err) {
       log.debug({ step: 'greet', peer, err: schemas.toError(err).message });
     }
--- a/packages/gateway/src/core-group.ts
+++ b/packages/gateway/src/core-group.ts
@@ -4,26 +4,26 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import type * as coreMeshes from './core-mesh.js';
-import type * as coreTables from './core-host-registry.js';
-import * as seatKeepers from './membership-manager.js';
+import type * as coreHostRegistries from './core-host-registry.js';
+import * as membershipManagers from './membership-manager.js';
 
 /**
- * The election timeout, in milliseconds. The group has a new leader within about twice that, so an order sent
- * while the leader dies is acknowledged well inside the 4 s that the deployments allow; a sync of a slow disk
- * (150 ms) between two heartbeats does not unseat a leader.
+ * Election timeout, in milliseconds. The group elects a new leader within about twice this time, so an order that is
+ * sent while the leader fails is acknowledged well within the 4 s that deployments allow. A slow disk's sync (150 ms)
+ * between two heartbeats does not depose the leader.
  */
-const ELECTION_MS = 600;
+const ELECTION_TIMEOUT_MS = 600;
 
-/** How long a leader is sure to be the only one after a majority's answer, in milliseconds. */
+/** Time for which a leader is certain to be the only one after a majority has answered, in milliseconds. */
 const LEASE_MS = 400;
 
-/** How many entries are kept before a snapshot takes their place; each may hold a document of 100 KB. */
-const SNAPSHOT_EVERY = 256;
+/** Number of log entries after which a snapshot replaces them; each entry may hold a document of 100 KB. */
+const SNAPSHOT_EVERY_ENTRIES = 256;
 
-/** The pause before a voter whose disk failed is tried anew, in milliseconds. */
-const REOPEN_MS = 500;
+/** Delay before a voter is reopened after its disk failed, in milliseconds. */
+const REOPEN_DELAY_MS = 500;
 
-/** What takes part in the log needs. */
+/** Options of `CoreGroup`. */
 export interface CoreGroupOptions {
   readonly coreId: string;
   readonly availabilityZone: string;
@@ -31,43 +31,43 @@
   readonly voterSlotCount: number;
   readonly openFiles: () => Promise<consensus.FileStorage>;
   readonly mesh: coreMeshes.CorePeers;
-  readonly registry: coreTables.CoreHostRegistry;
+  readonly registry: coreHostRegistries.CoreHostRegistry;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly random: () => number;
 }
 
-/** Who leads, and when that was last heard, on this host's clock. */
+/** The current leader and the time of the last contact with it, on this host's clock. */
 export interface RecentLeader {
   readonly coreId: string;
   readonly lastContactAt: number;
 }
 
-/** The document itself with all else beside it, so that hosts of the version before find what they know. */
+/** The declared document's fields with all other state beside them, so that hosts of the previous version can read it. */
 interface CoreSnapshot extends Partial<intents.DeclaredDocument> {
   readonly quarantine?: readonly routing.SuspectFacts[];
   readonly evacuations?: intents.EvacuatedZones;
 }
 
-/** This host's part in the replicated log: its identity, its voter, and as the leader the seats. */
+/** This host's member of the consensus group: its identity, its voter and, on the leader, the group's membership. */
 export class CoreGroup {
   public readonly state = new intents.DeclaredState();
   public readonly quarantine = new routing.QuarantineState();
   public readonly evacuations = new intents.EvacuationState();
-  public readonly membership: seatKeepers.MembershipManager;
+  public readonly membership: membershipManagers.MembershipManager;
   public voter: consensus.Voter | undefined;
   private identity: consensus.Genesis | undefined;
   private readonly stopping = new AbortController();
 
   public constructor(private readonly options: CoreGroupOptions) {
-    this.membership = new seatKeepers.MembershipManager({
+    this.membership = new membershipManagers.MembershipManager({
       ...options,
       findVoter: () => this.voter,
       isLeading: () => this.isLeading(),
     });
   }
 
-  /** Takes part until stopped; a voter whose disk failed is opened anew from what the disk holds. */
+  /** Runs this host's voter until stopped. A voter whose disk failed is reopened from what the disk holds. */
   public async run(): Promise<void> {
     const { signal } = this.stopping;
     void this.membership.run(signal);
@@ -78,17 +78,17 @@
         const { message } = schemas.toError(err);
         this.options.log.warn({ event: 'disk-lost', step: 'open-log', err: message });
       }
-      await this.options.clock.sleep(REOPEN_MS, signal).catch(() => {});
+      await this.options.clock.sleep(REOPEN_DELAY_MS, signal).catch(() => {});
     }
   }
 
-  /** Ends every task. */
+  /** Stops all tasks. */
   public stop(): void {
     this.stopping.abort(new Error('stopping'));
     this.voter?.stop();
   }
 
-  /** This data folder's number and the first voters, as far as they are agreed. */
+  /** Returns the voter ID of this data folder and the founding voters if they are agreed; throws before the folder is open. */
   public getIdentity(): consensus.Genesis {
     if (this.identity === undefined) {
       throw new schemas.StepError({ id: 'notLeader', step: 'identity' });
@@ -96,7 +96,7 @@
     return this.identity;
   }
 
-  /** This host's voter, or an error before the log is open. */
+  /** Returns this host's voter; throws before the log is open. */
   public getVoter(): consensus.Voter {
     if (this.voter === undefined) {
       throw new schemas.StepError({ id: 'notLeader', step: 'voter' });
@@ -104,7 +104,7 @@
     return this.voter;
   }
 
-  /** The leadership, or an error where this host does not lead. */
+  /** Returns the leadership; throws on a host that does not lead. */
   public getLeadership(): consensus.Leadership {
     const leadership = this.voter?.leadership;
     if (leadership === undefined) {
@@ -113,32 +113,33 @@
     return leadership;
   }
 
-  /** Whether this host leads and a majority has lately confirmed it. */
+  /** Whether this host leads, its lease holds and all entries of earlier terms are applied. */
   public isLeading(): boolean {
     const leadership = this.voter?.leadership;
     return leadership !== undefined && leadership.isLeaseHeld() && leadership.hasCommittedInTerm();
   }
 
-  /** Who leads, as far as this host leads itself or has lately heard from the leader. */
+  /** Returns the leader, if this host leads or had contact with the leader within the election timeout. */
   public findRecentLeader(): RecentLeader | undefined {
     const { clock, coreId } = this.options;
     const now = clock.now();
     if (this.isLeading()) {
       return { coreId, lastContactAt: now };
     }
-    const { lastLeaderContactAt: heardAt = -Infinity, leader, leadership } = this.voter ?? {};
-    const isHeard = leader !== undefined && leadership === undefined && now - heardAt < ELECTION_MS;
-    return isHeard ? { coreId: leader, lastContactAt: heardAt } : undefined;
+    const { lastLeaderContactAt: lastContactAt = -Infinity, leader, leadership } = this.voter ?? {};
+    const hasContact =
+      leader !== undefined && leadership === undefined && now - lastContactAt < ELECTION_TIMEOUT_MS;
+    return hasContact ? { coreId: leader, lastContactAt } : undefined;
   }
 
-  /** Whether what is applied here is the newest, as far as a leader's word of late vouches for it. */
+  /** Whether the state applied here was confirmed as the newest by a leader within the election timeout. */
   public isCurrent(): boolean {
     const { voter } = this;
     if (voter === undefined || voter.stopped || !voter.hasSlot()) {
       return false;
     }
     const behindMs = this.options.clock.now() - voter.caughtUpAt;
-    return this.isLeading() || (voter.leader !== undefined && behindMs < ELECTION_MS);
+    return this.isLeading() || (voter.leader !== undefined && behindMs < ELECTION_TIMEOUT_MS);
   }
 
   private getSnapshot(): CoreSnapshot | null {
@@ -161,7 +162,7 @@
   }
 
   private async runVoter(): Promise<void> {
-    const { clock, coreId, founders, log, mesh, random, registry: table } = this.options;
+    const { clock, coreId, founders, log, mesh, random, registry } = this.options;
     const { signal } = this.stopping;
     const files = await this.options.openFiles();
     const identity = await consensus.openIdentity(files, founders);
@@ -171,7 +172,7 @@
       identity,
       daemonId: coreId,
       founders: identity.founders ?? [],
-      listPeers: () => table.listOthers(),
+      listPeers: () => registry.listOthers(),
       fetchGenesis: (peer) => mesh.get(peer).genesis.mutate(),
       clock,
       signal,
@@ -184,9 +185,9 @@
       transport: createTransport(mesh),
       clock,
       log,
-      timings: { electionMs: ELECTION_MS, leaseMs: LEASE_MS },
+      timings: { electionMs: ELECTION_TIMEOUT_MS, leaseMs: LEASE_MS },
       random,
-      snapshotEvery: SNAPSHOT_EVERY,
+      snapshotEvery: SNAPSHOT_EVERY_ENTRIES,
     });
     this.voter = voter;
     log.info({
@@ -194,7 +195,7 @@
       term: voter.term,
       lastIndex: voter.entries.lastIndex,
       isSeated: voter.hasSlot(),
-      seats: voter.entries.getVoters().map((seat) => seat.daemonId),
+      seats: voter.entries.getVoters().map((slot) => slot.daemonId),
     });
     await consensus.runElections(voter, signal);
     await files.close?.();
--- a/packages/gateway/src/core-host-registry.ts
+++ b/packages/gateway/src/core-host-registry.ts
@@ -1,10 +1,10 @@
 import type * as consensus from '@bramleyridge/consensus';
 import type * as schemas from '@bramleyridge/schemas';
 
-/** After how long without a word a core host is no longer asked, in milliseconds. */
-const FORGET_MS = 60_000;
+/** Time without an announcement after which a core host is no longer contacted, in milliseconds. */
+const EXPIRY_MS = 60_000;
 
-/** What a core host says of itself when it greets. */
+/** What a core host announces about itself. */
 export interface CoreAnnouncement {
   readonly coreId: string;
   readonly voterId: string;
@@ -12,62 +12,62 @@
   readonly isLeaving?: boolean | undefined;
 }
 
-interface Heard {
-  readonly greeting: CoreAnnouncement;
-  readonly at: number;
+interface ReceivedAnnouncement {
+  readonly announcement: CoreAnnouncement;
+  readonly receivedAt: number;
 }
 
-/** The core hosts that this one knows of: by name from the settings and the others, and as heard itself. */
+/** Core hosts lastSeenAt to this one: names from the settings and from other core hosts, and announcements received here. */
 export class CoreHostRegistry {
-  /** Who leads, as another core host told; for hosts without a seat, which hear no leader themselves. */
+  /** The leader as another core host named it; used by hosts that are no voters, which receive no heartbeats. */
   public leaderHint: string | undefined;
-  private readonly known = new Map<string, number>();
-  private readonly heard = new Map<string, Heard>();
+  private readonly lastSeenAt = new Map<string, number>();
+  private readonly announcements = new Map<string, ReceivedAnnouncement>();
 
   public constructor(
     private readonly ownId: string,
     private readonly clock: schemas.Clock,
   ) {}
 
-  /** Learns names, from the settings or from another core host. */
+  /** Adds names from the settings or from another core host. */
   public addNames(coreIds: readonly string[]): void {
     const now = this.clock.now();
     coreIds
-      .filter((coreId) => coreId !== this.ownId && !this.known.has(coreId))
-      .forEach((coreId) => this.known.set(coreId, now));
+      .filter((coreId) => coreId !== this.ownId && !this.lastSeenAt.has(coreId))
+      .forEach((coreId) => this.lastSeenAt.set(coreId, now));
   }
 
-  /** Notes that a core host spoke, and with which data folder. */
-  public recordAnnouncement(greeting: CoreAnnouncement): void {
-    const at = this.clock.now();
-    this.known.set(greeting.coreId, at);
-    this.heard.set(greeting.voterId, { greeting, at });
+  /** Records an announcement and the voter ID of the data folder that it was sent with. */
+  public recordAnnouncement(announcement: CoreAnnouncement): void {
+    const receivedAt = this.clock.now();
+    this.lastSeenAt.set(announcement.coreId, receivedAt);
+    this.announcements.set(announcement.voterId, { announcement, receivedAt });
   }
 
-  /** The other core hosts, by name. */
+  /** Lists the other core hosts by name. */
   public listOthers(): string[] {
     const now = this.clock.now();
-    // A host that was replaced for good would otherwise be asked, and named to others, for ever.
-    [...this.known]
-      .filter(([, at]) => now - at > FORGET_MS)
-      .forEach(([coreId]) => this.known.delete(coreId));
-    return [...this.known.keys()];
+    // Otherwise a host that was replaced permanently would be contacted, and named to other hosts, for ever.
+    [...this.lastSeenAt]
+      .filter(([, at]) => now - at > EXPIRY_MS)
+      .forEach(([coreId]) => this.lastSeenAt.delete(coreId));
+    return [...this.lastSeenAt.keys()];
   }
 
-  /** All core hosts by name, this one included. */
+  /** Lists all core hosts by name, including this one. */
   public listAll(): string[] {
     return [this.ownId, ...this.listOthers()];
   }
 
-  /** Who could hold a seat, with how long they have been silent. */
+  /** Lists the hosts that could take a voter slot, with the time since their last announcement. */
   public listCandidates(): consensus.VoterSlotCandidate[] {
     const now = this.clock.now();
-    return [...this.heard.values()].map(({ greeting, at }) => ({
-      daemonId: greeting.coreId,
-      voterId: greeting.voterId,
-      availabilityZone: greeting.availabilityZone,
-      isLeaving: greeting.isLeaving,
-      silentMs: now - at,
+    return [...this.announcements.values()].map(({ announcement, receivedAt }) => ({
+      daemonId: announcement.coreId,
+      voterId: announcement.voterId,
+      availabilityZone: announcement.availabilityZone,
+      isLeaving: announcement.isLeaving,
+      silentMs: now - receivedAt,
     }));
   }
 }
--- a/packages/gateway/src/core-host.ts
+++ b/packages/gateway/src/core-host.ts
@@ -5,32 +5,32 @@
 import * as schemas from '@bramleyridge/schemas';
 import type * as telemetry from '@bramleyridge/telemetry';
 
-import * as coreGreeters from './core-discovery.js';
+import * as coreDiscoveries from './core-discovery.js';
 import * as coreGroups from './core-group.js';
 import * as coreMeshes from './core-mesh.js';
 import * as procedures from './core-procedures.js';
-import * as coreTables from './core-host-registry.js';
-import * as entryNews from './entry-update-service.js';
-import * as entryTables from './entry-host-registry.js';
-import * as evacuationOrders from './evacuation-service.js';
+import * as coreHostRegistries from './core-host-registry.js';
+import * as entryUpdateServices from './entry-update-service.js';
+import * as entryHostRegistries from './entry-host-registry.js';
+import * as evacuationServices from './evacuation-service.js';
 import * as hostSettings from './host-settings.js';
 import * as leaderClients from './leader-client.js';
-import * as listDesks from './upstream-list-service.js';
-import * as operatorDesks from './operator-service.js';
-import * as poolDesks from './placement-service.js';
+import * as upstreamListServices from './upstream-list-service.js';
+import * as operatorServices from './operator-service.js';
+import * as placementServices from './placement-service.js';
 import type * as ports from './ports.js';
 import * as retryShares from './retry-shares.js';
-import * as routedStores from './routed-configuration-store.js';
-import type * as settingsWatches from './settings-watcher.js';
-import * as suspectDesks from './suspect-registry.js';
+import * as routedConfigurationStores from './routed-configuration-store.js';
+import type * as settingsWatchers from './settings-watcher.js';
+import * as suspectRegistries from './suspect-registry.js';
 import * as suspectRelays from './suspect-relay.js';
 
-/** How long a core host may take to answer another, in milliseconds; a slow disk's sync of 150 ms is in it. */
+/** Deadline of a request between core hosts, in milliseconds; includes a slow disk's sync of 150 ms. */
 const PEER_DEADLINE_MS = 500;
 
-/** What a core host needs besides its settings. */
+/** Options of `CoreHost`. */
 export interface CoreHostOptions {
-  readonly settings: settingsWatches.SettingsWatcher;
+  readonly settings: settingsWatchers.SettingsWatcher;
   readonly codec: ports.DocumentCodec;
   readonly source: ports.UpstreamSource;
   readonly probe: ports.UpstreamProbe;
@@ -40,30 +40,30 @@
   readonly random: () => number;
 }
 
-/** A core host: keeps what operators declare, and as the leader tells entry hosts what is new. */
+/** A core host: replicates what operators declare, answers the polls of entry hosts and, as the leader, places generations. */
 export class CoreHost {
-  public readonly operatorService: operatorDesks.OperatorService;
-  public readonly evacuations: evacuationOrders.EvacuationService;
+  public readonly operatorService: operatorServices.OperatorService;
+  public readonly evacuations: evacuationServices.EvacuationService;
   private readonly coreId: string;
   private readonly mesh = new coreMeshes.CoreMesh(PEER_DEADLINE_MS);
-  private readonly table: coreTables.CoreHostRegistry;
-  private readonly entries: entryTables.EntryHostRegistry;
+  private readonly coreRegistry: coreHostRegistries.CoreHostRegistry;
+  private readonly entryRegistry: entryHostRegistries.EntryHostRegistry;
   private readonly group: coreGroups.CoreGroup;
-  private readonly greeter: coreGreeters.CoreDiscovery;
-  private readonly pools: poolDesks.PlacementService;
-  private readonly suspects: suspectDesks.SuspectRegistry;
+  private readonly discovery: coreDiscoveries.CoreDiscovery;
+  private readonly placement: placementServices.PlacementService;
+  private readonly suspects: suspectRegistries.SuspectRegistry;
   private readonly relay: suspectRelays.SuspectRelay;
-  private readonly store: routedStores.RoutedConfigurationStore;
-  private readonly lists: listDesks.UpstreamListService;
-  private readonly news: entryNews.EntryUpdateService;
+  private readonly configuration: routedConfigurationStores.RoutedConfigurationStore;
+  private readonly upstreamList: upstreamListServices.UpstreamListService;
+  private readonly updates: entryUpdateServices.EntryUpdateService;
   private readonly server: peers.PeerServer;
 
   public constructor(private readonly options: CoreHostOptions) {
     const { clock, codec, log, random, source } = options;
     const settings = options.settings.get();
     this.coreId = hostSettings.getCoreId(settings.ipAddress, settings.peerPort);
-    this.table = new coreTables.CoreHostRegistry(this.coreId, clock);
-    this.entries = new entryTables.EntryHostRegistry(clock);
+    this.coreRegistry = new coreHostRegistries.CoreHostRegistry(this.coreId, clock);
+    this.entryRegistry = new entryHostRegistries.EntryHostRegistry(clock);
     this.group = new coreGroups.CoreGroup({
       coreId: this.coreId,
       availabilityZone: settings.availabilityZone,
@@ -71,39 +71,46 @@
       voterSlotCount: 2 * settings.lossesToBear + 1,
       openFiles: () => openFolder(settings.dataFolder ?? ''),
       mesh: this.mesh,
-      registry: this.table,
+      registry: this.coreRegistry,
       clock,
       log,
       random,
     });
-    this.greeter = new coreGreeters.CoreDiscovery({
+    this.discovery = new coreDiscoveries.CoreDiscovery({
       coreId: this.coreId,
       availabilityZone: settings.availabilityZone,
       group: this.group,
-      registry: this.table,
+      registry: this.coreRegistry,
       mesh: this.mesh,
       listSeeds: () => hostSettings.listSeedIds(options.settings.get()),
       clock,
       log,
     });
-    const { coreId, group, mesh, table } = this;
-    const leader = new leaderClients.LeaderClient({ coreId, group, table, mesh, clock, log });
+    const { coreId, coreRegistry, group, mesh } = this;
+    const leader = new leaderClients.LeaderClient({
+      coreId,
+      group,
+      table: coreRegistry,
+      mesh,
+      clock,
+      log,
+    });
     const { acknowledgeMs } = settings.bounds;
-    this.operatorService = new operatorDesks.OperatorService({
+    this.operatorService = new operatorServices.OperatorService({
       group,
       leader,
       codec,
       log,
       acknowledgeMs,
     });
-    this.evacuations = new evacuationOrders.EvacuationService({
+    this.evacuations = new evacuationServices.EvacuationService({
       group,
       leader,
       listZones: () => hostSettings.listZones(options.settings.get()),
       clock,
       log,
     });
-    this.suspects = new suspectDesks.SuspectRegistry({
+    this.suspects = new suspectRegistries.SuspectRegistry({
       clock,
       log,
       metrics: options.metrics,
@@ -113,17 +120,17 @@
     this.relay = new suspectRelays.SuspectRelay({
       coreId,
       findLeader: () => group.findRecentLeader(),
-      leaderHandlers: this.createSuspectDuties(),
+      leaderHandlers: this.createSuspectHandlers(),
       mesh,
       clock,
       log,
     });
-    this.store = new routedStores.RoutedConfigurationStore(codec, log);
-    this.store.markReady();
-    this.pools = new poolDesks.PlacementService({
+    this.configuration = new routedConfigurationStores.RoutedConfigurationStore(codec, log);
+    this.configuration.markReady();
+    this.placement = new placementServices.PlacementService({
       clock,
       findService: (name) => this.findService(name),
-      findUpstreams: () => this.lists.getList()?.upstreams,
+      findUpstreams: () => this.upstreamList.getList()?.upstreams,
       isEvacuated: (zone) => this.group.evacuations.has(zone),
       getEvacuationRevision: () => this.group.evacuations.get().revision,
       coldBounds: settings.bounds,
@@ -135,7 +142,7 @@
         windowMs: settings.bounds.retryWindowMs,
       },
     });
-    this.lists = new listDesks.UpstreamListService({
+    this.upstreamList = new upstreamListServices.UpstreamListService({
       source,
       probe: options.probe,
       clock,
@@ -144,14 +151,14 @@
       findActiveSince: () =>
         this.group.isLeading() ? this.group.getLeadership().startedAt : undefined,
       findService: (name) => this.findService(name),
-      hasRuns: (service, engineId) => this.pools.hasRuns(service, engineId),
+      hasRuns: (service, engineId) => this.placement.hasRuns(service, engineId),
     });
-    const { entries, lists, suspects } = this;
-    this.news = new entryNews.EntryUpdateService({
+    const { entryRegistry, suspects, upstreamList } = this;
+    this.updates = new entryUpdateServices.EntryUpdateService({
       group,
-      registry: table,
-      entries,
-      lists,
+      coreRegistry,
+      entryRegistry,
+      upstreamList,
       suspects,
       clock,
     });
@@ -163,7 +170,7 @@
     });
   }
 
-  private watchLevels(): void {
+  private registerGauges(): void {
     const { metrics } = this.options;
     metrics.watch('isLeading', () => Number(this.group.isLeading()));
     metrics.watch('term', () => this.group.voter?.term ?? 0);
@@ -171,7 +178,7 @@
     metrics.watch('seatsSilent', () => this.findLeadership()?.listLaggingVoters().length ?? -1);
     metrics.watch('lossesBorne', () => this.findLeadership()?.countTolerableLosses() ?? -1);
     metrics.watch('zonesEvacuated', () => this.group.evacuations.get().zones.length);
-    metrics.watch('entryHosts', () => this.entries.count());
+    metrics.watch('entryHosts', () => this.entryRegistry.count());
     metrics.watch('configurationVersion', () => this.group.state.get()?.version ?? -1);
   }
 
@@ -179,120 +186,120 @@
     return this.group.voter?.leadership;
   }
 
-  /** Listens to peers and takes part in the log. */
+  /** Starts listening for peers and joins the consensus group. */
   public async start(): Promise<void> {
-    this.watchLevels();
+    this.registerGauges();
     await this.server.listen();
-    void this.greeter.run();
+    void this.discovery.run();
     void this.group.run();
-    void this.news.run();
-    this.lists.run();
+    void this.updates.run();
+    this.upstreamList.run();
     this.options.log.info({ event: 'started', role: 'core', peer: this.coreId });
   }
 
-  /** Gives the seat away where a spare host can take it, then ends every task; a leader's place goes to another. */
+  /** Leaves the voters if a spare host can take the slot, then stops all tasks; a leader is replaced by another host. */
   public async stop(): Promise<void> {
     this.options.log.info({ event: 'stopping', role: 'core', isLeading: this.group.isLeading() });
-    const left = this.group.membership.leave();
-    this.greeter.announceAll();
-    await left;
+    const departure = this.group.membership.leave();
+    this.discovery.announceAll();
+    await departure;
     this.kill();
   }
 
-  /** Ends every task at once. */
+  /** Stops all tasks at once. */
   public kill(): void {
-    this.greeter.stop();
-    this.news.stop();
-    this.lists.stop();
+    this.discovery.stop();
+    this.updates.stop();
+    this.upstreamList.stop();
     this.group.stop();
     this.server.close();
     this.mesh.close();
   }
 
   private createHandlers(): procedures.CoreHandlers {
-    const { operatorService: desk, group } = this;
+    const { operatorService, group } = this;
     return {
       genesis: async () => group.getIdentity(),
       vote: (req) => group.getVoter().handleVote(req),
       append: (req) => group.getVoter().handleAppend(req),
       snapshot: (req) => group.getVoter().handleSnapshot(req),
-      hello: async (req) => this.greeter.handleHello(req),
-      news: (req) => this.news.answer(req),
+      hello: async (req) => this.discovery.handleHello(req),
+      news: (req) => this.updates.answer(req),
       place: (req) => this.place(req),
       awaitHandOver: async (req) => {
-        this.checkLeading('hand-over');
-        return this.pools.awaitMigration(req);
+        this.ensureLeading('hand-over');
+        return this.placement.awaitMigration(req);
       },
-      release: async (req) => this.pools.release(req),
-      noteRun: async (note) => this.pools.noteRun(note),
+      release: async (req) => this.placement.release(req),
+      noteRun: async (event) => this.placement.noteRun(event),
       borrowRetry: async ({ service }) => {
-        this.checkLeading('borrow-retry');
+        this.ensureLeading('borrow-retry');
         const { startedAt, term } = group.getLeadership();
-        return { isLent: this.pools.grantRetry(service, { term, since: startedAt }) };
+        return { isLent: this.placement.grantRetry(service, { term, since: startedAt }) };
       },
-      ...this.createSuspectDuties(),
+      ...this.createSuspectHandlers(),
       relaySuspects: (req) => this.relay.report(req),
       relayPermit: (req) => this.relay.permit(req),
       awaitRelayed: (req) => this.relay.awaitChanges(req),
-      declare: (document) => desk.declareAsLeader(document),
-      read: () => desk.readAsLeader(),
+      declare: (document) => operatorService.declareAsLeader(document),
+      read: () => operatorService.readAsLeader(),
       evacuate: (entry) => this.evacuations.proposeAsLeader(entry),
       readEvacuations: () => this.evacuations.readAsLeader(),
     };
   }
 
-  /** Only the leader keeps the account; what a former one knew is told anew by the entry hosts. */
+  /** Places a generation. Only the leader tracks placements; entry hosts register running generations with a new leader. */
   private async place(req: procedures.PlaceReq): Promise<procedures.PlaceRes> {
-    this.checkLeading('place');
-    const res = await this.pools.place(req);
+    this.ensureLeading('place');
+    const res = await this.placement.place(req);
     const refused = res.isUnknown === true ? 'unknown' : 'no-room';
     const result = res.placed === undefined ? refused : 'placed';
     this.options.metrics.count('generationsPlaced', { result });
     return res;
   }
 
-  /** What this host does with suspects as the leader; rejects where it does not lead. */
-  private createSuspectDuties(): Pick<
+  /** Creates the handlers for suspects, which run on the leader only and reject on any other host. */
+  private createSuspectHandlers(): Pick<
     procedures.CoreHandlers,
     'reportSuspects' | 'shareSuspects' | 'permitSuspect'
   > {
     return {
       reportSuspects: async (req) => {
-        const term = this.leadSuspects('report-suspects');
+        const term = this.ensureLeadingSuspects('report-suspects');
         this.suspects.report(req);
         return { term };
       },
       shareSuspects: async ({ suspects }) => {
-        const term = this.leadSuspects('share-suspects');
+        const term = this.ensureLeadingSuspects('share-suspects');
         this.suspects.merge(suspects);
         return { term };
       },
       permitSuspect: async (req) => {
-        this.leadSuspects('permit-suspect');
+        this.ensureLeadingSuspects('permit-suspect');
         return this.suspects.permitWithFacts(req);
       },
     };
   }
 
-  private checkLeading(step: string): void {
+  private ensureLeading(step: string): void {
     if (!this.group.isLeading()) {
-      this.pools.clear();
+      this.placement.clear();
       throw new schemas.StepError({ id: 'notLeader', step });
     }
-    this.pools.startLeading(this.group.getLeadership().term);
+    this.placement.startLeading(this.group.getLeadership().term);
   }
 
   private findService(name: string): schemas.RoutedService | undefined {
     const document = this.group.state.get();
     if (document !== undefined) {
-      this.store.offer(document);
+      this.configuration.offer(document);
     }
-    return this.store.findTable()?.findService(name);
+    return this.configuration.findTable()?.findService(name);
   }
 
-  /** Sees to it that the account of suspects has what the log holds before it is used in a term; gives the term. */
-  private leadSuspects(step: string): number {
-    this.checkLeading(step);
+  /** Loads the log's quarantine into the suspect registry before its first use in a term; returns the term. */
+  private ensureLeadingSuspects(step: string): number {
+    this.ensureLeading(step);
     const { term } = this.group.getLeadership();
     this.suspects.startLeading(term);
     return term;
--- a/packages/gateway/src/core-mesh.ts
+++ b/packages/gateway/src/core-mesh.ts
@@ -3,21 +3,21 @@
 import type * as procedures from './core-procedures.js';
 import * as hostSettings from './host-settings.js';
 
-/** A typed client of one core host. */
+/** Typed client of one core host. */
 export type CoreApi = peers.PeerApi<procedures.CoreRouter>;
 
-/** How a core host reaches another. */
+/** Provides the clients of core hosts. */
 export interface CorePeers {
-  /** The client of a core host. */
+  /** Returns the client of a core host. */
   get(coreId: string): CoreApi;
 }
 
-/** The links to core hosts, whose names say where they listen. */
+/** The connections to core hosts. A core host's name is the address on which it listens. */
 export class CoreMesh implements CorePeers {
   private readonly links: peers.PeerMesh<procedures.CoreRouter>;
 
   public constructor(deadlineMs: number) {
-    // The platform gives the hosts no secret that they share, so links between them are plain TCP.
+    // The platform provides no secret that the hosts share, so connections between them are plain TCP.
     this.links = new peers.PeerMesh({ keyring: undefined, deadlineMs });
   }
 
@@ -26,7 +26,7 @@
     return this.links.getAt(coreId, { host, peerPort: port });
   }
 
-  /** Ends every link. */
+  /** Closes every connection. */
   public close(): void {
     this.links.close();
   }
--- a/packages/gateway/src/core-procedures.ts
+++ b/packages/gateway/src/core-procedures.ts
@@ -6,57 +6,57 @@
 import * as trpc from '@trpc/server';
 import * as z from 'zod';
 
-/** What a core host says of itself to the others, and whom it knows. */
+/** Announcement of a core host to another, with the core hosts that it knows. */
 export const helloReq = z.object({
   coreId: z.string(),
-  /** The number of its data folder. */
+  /** Voter ID of its data folder. */
   voterId: z.string(),
   availabilityZone: z.string().optional(),
-  /** Set when it is about to stop and wants to give its seat away. */
+  /** Set when the host is about to stop and wants another host to take its voter slot. */
   isLeaving: z.boolean().optional(),
   known: z.array(z.string()),
 });
 
-/** What a core host answers another. */
+/** Answer to an announcement. */
 export const helloRes = z.object({ known: z.array(z.string()), leader: z.string().optional() });
 
-/** What a host has learned of suspects: of which leader, and up to which change. */
+/** Position in the leader's changes to suspects: the leader's term and the revision received last. */
 export const suspectCursor = z.object({ term: z.int(), revision: z.int() });
 
-/** An entry host's open question: what is newer than this? */
+/** Long poll of an entry host for state newer than what it has. */
 export const updatesReq = z.object({
   hostId: z.string(),
   version: z.int(),
-  /** Changes with the content of the list of upstreams. */
+  /** Identifies the content of the list of upstreams. */
   listStamp: z.string(),
   waitMs: z.number(),
-  /** Whether the list may come packed; hosts of the version before take it as it is. */
+  /** Whether the list may be sent packed; hosts of the previous version take it as it is. */
   takesPacked: z.boolean().optional(),
-  /** Whether it may be told only what has changed in the list since the one that it has. */
+  /** Whether the answer may hold only the changes since the list that this host has. */
   takesChanges: z.boolean().optional(),
-  /** Not sent by hosts of the version before. */
+  /** Not sent by hosts of the previous version. */
   suspects: suspectCursor.optional(),
-  /** Of the evacuated zones that the host knows of; not sent by hosts of the version before. */
+  /** Revision of the evacuated zones that the host has; not sent by hosts of the previous version. */
   evacuationRevision: z.int().optional(),
 });
 
-/** The list of upstreams as the leader read it. */
+/** The list of upstreams that the leader has read. */
 export const upstreamList = z.object({
   stamp: z.string(),
   upstreams: z.array(schemas.listedUpstream),
 });
 
-/** What has changed between two lists. */
+/** Changes between two lists of upstreams. */
 export const listChanges = z.object({
-  /** The list that they apply to. */
+  /** Stamp of the list that the changes apply to. */
   from: z.string(),
   stamp: z.string(),
-  /** Upstreams that are new or listed otherwise. */
+  /** Upstreams that were added or whose entry changed. */
   changed: z.array(schemas.listedUpstream),
   gone: z.array(z.string()),
 });
 
-/** What a leader tells of calls under which upstreams ended. */
+/** Changes to the calls under which upstream processes ended, as the leader has them. */
 export const suspectUpdates = z.object({
   term: z.int(),
   changes: z.object({
@@ -67,48 +67,48 @@
   }),
 });
 
-/** What a run of a suspect, or of one that becomes so, has shown. */
+/** Outcome of a run of a suspect, or of a call that becomes one by this outcome. */
 export const suspectOutcome = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('ended'), digest: z.string(), end: routing.processEnd }),
   z.object({ kind: z.literal('served'), digest: z.string() }),
   z.object({ kind: z.literal('over'), digest: z.string(), processId: z.string() }),
 ]);
 
-/** What runs at a host have shown. */
+/** Outcomes of suspects' runs, reported by one host. */
 export const suspectReport = z.object({ hostId: z.string(), runs: z.array(suspectOutcome) });
 
-/** All that a host knows of suspects. */
+/** All suspects that a host has recorded. */
 export const shareSuspectsReq = z.object({
   hostId: z.string(),
   suspects: z.array(routing.suspectFacts),
 });
 
-/** In which term the leader has taken it. */
+/** Term in which the leader has merged them. */
 export const shareSuspectsRes = z.object({ term: z.int() });
 
-/** A host wants to send a suspect to an upstream. */
+/** Request for a permit to send a suspect to an upstream. */
 export const suspectPermitReq = z.object({
   hostId: z.string(),
   digest: z.string(),
   processId: z.string(),
-  /** Set where there is no other upstream for it. */
+  /** Set if no other upstream is available for the call. */
   mayShare: z.boolean(),
-  /** The question's id, the same when it is asked again; not sent by hosts of the version before. */
+  /** ID of the request, which a repeated request keeps; not sent by hosts of the previous version. */
   permitId: z.string().optional(),
-  /** What the host knows of the call: a leader that has just risen may not have been told yet. */
+  /** What the host has recorded about the call; a newly elected leader may not have received it yet. */
   facts: routing.suspectFacts.optional(),
 });
 
-/** Which core host's word on suspects a host has while nobody leads, and up to which change. */
+/** Long poll for suspects relayed by a core host while there is no leader, with the position received last. */
 export const relayedUpdatesReq = z.object({
   hostId: z.string(),
-  /** Changes when the core host has forgotten what it was told before. */
+  /** Changes when the core host has discarded the suspects that it relayed before. */
   epoch: z.int(),
   revision: z.int(),
   waitMs: z.number(),
 });
 
-/** What other hosts have told a core host of suspects; nothing while it hears a leader. */
+/** Suspects that entry hosts have reported to a core host; `undefined` while it has contact to a leader. */
 export const relayedUpdatesRes = z.object({
   relayed: z
     .object({
@@ -118,31 +118,31 @@
     .optional(),
 });
 
-/** What an entry host is told: only what it lacks. */
+/** Answer to an entry host's poll; holds only what the host lacks. */
 export const updatesRes = z.object({
   document: intents.declaredDocument.optional(),
   list: upstreamList.optional(),
-  /** The list, packed once for all hosts. */
+  /** The list of upstreams, packed once for all hosts. */
   packedList: z.custom<Uint8Array>((value) => value instanceof Uint8Array).optional(),
-  /** What has changed in the list since the one that the host has, packed. */
+  /** The packed changes since the list that the host has. */
   packedChanges: z.custom<Uint8Array>((value) => value instanceof Uint8Array).optional(),
-  /** How long ago the list was read, in milliseconds; nothing where it is not read. */
+  /** Time since the list was read, in milliseconds; `undefined` on hosts that don't lead, and before the first read. */
   listAgeMs: z.number().optional(),
-  /** The pause between two readings of the list, in milliseconds; a long list is read less often. */
+  /** Interval between reads of the list, in milliseconds; a long list is read less often. */
   listPeriodMs: z.number().optional(),
-  /** Whether what this core host has is the newest, as far as a leader's heartbeat vouches for it. */
+  /** Whether this core host's state is the newest, as confirmed by a recent heartbeat of the leader. */
   isCurrent: z.boolean(),
   leader: z.string().optional(),
   cores: z.array(z.string()),
-  /** How many entry hosts the leader hears. */
+  /** Number of entry hosts that poll the leader. */
   entryHosts: z.int().optional(),
   suspects: suspectUpdates.optional(),
   evacuations: intents.evacuatedZones.optional(),
-  /** For a host that has just started and hears a core host that does not lead: what is quarantined for certain. */
+  /** The quarantine from the log, for a host that has had no contact to a leader yet and polls a core host that doesn't lead. */
   quarantined: z.array(routing.suspectFacts).readonly().optional(),
 });
 
-/** A generation that is to be placed, or that runs already and is only entered. */
+/** Request to place a generation, or to register one that runs already. */
 export const placeReq = z.object({
   service: z.string(),
   need: z.object({
@@ -157,130 +157,130 @@
     wantsCopy: z.boolean(),
     ranMs: z.number(),
   }),
-  /** How long it may wait for room, in milliseconds. */
+  /** Time for which it may wait for capacity, in milliseconds. */
   patienceMs: z.number(),
-  /** In how many milliseconds its first event is due; negative when that is over. */
+  /** Time until its first event is due, in milliseconds; negative if overdue. */
   dueInMs: z.number(),
-  /** Its rank; 0 goes first. */
+  /** Priority; 0 is served first. */
   rank: z.int(),
 });
 
-/** What became of a generation: its first event was seen, or it does not use its turn to be handed over. */
+/** Event of a generation: its first event was sent to the caller, or it gives up its turn to migrate. */
 export const generationEvent = z.object({
   service: z.string(),
   callId: z.string(),
   event: z.enum(['begun', 'turn-over']),
 });
 
-/** A generation that runs and can be handed over to another engine. */
+/** Long poll by which a running generation is offered for migration to another engine. */
 export const migrationReq = z.object({
   service: z.string(),
   callId: z.string(),
   engineId: z.string(),
-  /** Engines that had no room for it. */
+  /** Engines that had no capacity for it. */
   excluded: z.array(z.string()).readonly(),
-  /** How long the question stays open, in milliseconds. */
+  /** Time for which the poll stays open, in milliseconds. */
   patienceMs: z.number(),
 });
 
-/** Which engine takes it over now; nothing while its engine stays or others have their turn. */
+/** Target engine of the migration; `undefined` while its engine stays or other generations have their turn. */
 export const migrationRes = z.object({ takerId: z.string().optional() });
 
-/** A host that has used its own retries up asks for one more. */
+/** Request of a host that has used up its own retries for one more. */
 export const retryGrantReq = z.object({ service: z.string() });
 
-/** Whether it may. */
+/** Whether the retry is granted. */
 export const retryGrantRes = z.object({ isLent: z.boolean() });
 
-/** Where a generation was placed, or how full its pool is when it was not. */
+/** Placement of a generation, or the load of its pool if it was not placed. */
 export const placeRes = z.object({
   placed: z
     .object({ engineId: z.string(), copyAt: z.string().optional(), share: z.number() })
     .optional(),
   waitedMs: z.number(),
-  /** Whether the leader cannot tell: it has not read the list of upstreams, or lacks the service. */
+  /** Set if the leader can't decide: it has not read the list of upstreams, or lacks the service. */
   isUnknown: z.boolean().optional(),
-  /** Generations under way and the forecast share of all memory, for the log of a refusal. */
+  /** Number of running generations and the forecast share of all memory in use, for the log of a refusal. */
   full: z.object({ running: z.int(), share: z.number() }).optional(),
 });
 
-/** A generation that runs no longer. */
+/** Report that a generation no longer runs. */
 export const releaseReq = z.object({
   service: z.string(),
   callId: z.string(),
   hasFailed: z.boolean(),
 });
 
-/** A generation that is to be placed. */
+/** Request to place or register a generation. */
 export type PlaceReq = z.infer<typeof placeReq>;
-/** What a host has learned of suspects. */
+/** Position in the leader's changes to suspects. */
 export type SuspectCursor = z.infer<typeof suspectCursor>;
-/** What a leader tells of suspects. */
+/** Changes to suspects, as the leader has them. */
 export type SuspectUpdates = z.infer<typeof suspectUpdates>;
-/** What a run of a suspect has shown. */
+/** Outcome of a suspect's run. */
 export type SuspectOutcome = z.infer<typeof suspectOutcome>;
-/** What runs at a host have shown. */
+/** Outcomes of suspects' runs, reported by one host. */
 export type SuspectReport = z.infer<typeof suspectReport>;
-/** All that a host knows of suspects. */
+/** All suspects that a host has recorded. */
 export type ShareSuspectsReq = z.infer<typeof shareSuspectsReq>;
-/** In which term the leader has taken it. */
+/** Term in which the leader has merged them. */
 export type ShareSuspectsRes = z.infer<typeof shareSuspectsRes>;
-/** A host wants to send a suspect to an upstream. */
+/** Request for a permit to send a suspect. */
 export type SuspectPermitReq = z.infer<typeof suspectPermitReq>;
-/** A host's open question for what others have told of suspects while nobody leads. */
+/** Long poll for relayed suspects while there is no leader. */
 export type RelayedUpdatesReq = z.infer<typeof relayedUpdatesReq>;
-/** What others have told of suspects. */
+/** Relayed suspects. */
 export type RelayedUpdatesRes = z.infer<typeof relayedUpdatesRes>;
-/** A host that needs one retry more. */
+/** Request for one more retry. */
 export type RetryGrantReq = z.infer<typeof retryGrantReq>;
-/** Whether it may. */
+/** Whether the retry is granted. */
 export type RetryGrantRes = z.infer<typeof retryGrantRes>;
-/** What became of a generation. */
+/** Event of a generation. */
 export type GenerationEvent = z.infer<typeof generationEvent>;
-/** A generation that can be handed over. */
+/** Long poll that offers a running generation for migration. */
 export type MigrationReq = z.infer<typeof migrationReq>;
-/** What tells it from others of its service. */
+/** The generation that is offered, without the service and the time to wait. */
 export type MigrationOffer = Omit<MigrationReq, 'service' | 'patienceMs'>;
-/** Which engine takes it over. */
+/** Target engine of a migration. */
 export type MigrationRes = z.infer<typeof migrationRes>;
-/** Where a generation was placed. */
+/** Placement of a generation. */
 export type PlaceRes = z.infer<typeof placeRes>;
-/** A generation that runs no longer. */
+/** Report that a generation no longer runs. */
 export type ReleaseReq = z.infer<typeof releaseReq>;
-/** What a core host says of itself to the others. */
+/** Announcement of a core host. */
 export type HelloReq = z.infer<typeof helloReq>;
-/** What a core host answers another. */
+/** Answer to an announcement. */
 export type HelloRes = z.infer<typeof helloRes>;
-/** An entry host's open question. */
+/** Long poll of an entry host. */
 export type UpdatesReq = z.infer<typeof updatesReq>;
-/** The list of upstreams as the leader read it. */
+/** The list of upstreams that the leader has read. */
 export type UpstreamList = z.infer<typeof upstreamList>;
-/** What has changed between two lists. */
+/** Changes between two lists of upstreams. */
 export type ListChanges = z.infer<typeof listChanges>;
-/** What an entry host is told. */
+/** Answer to an entry host's poll. */
 export type UpdatesRes = z.infer<typeof updatesRes>;
 
-/** Packs the list for the hosts that are told. */
+/** Packs the list, once for all hosts. */
 export function packList(list: UpstreamList): Uint8Array {
   return peers.packValue(list);
 }
 
-/** Packs what has changed in the list for the hosts that are told. */
+/** Packs changes of the list, once for all hosts. */
 export function packListChanges(changes: ListChanges): Uint8Array {
   return peers.packValue(changes);
 }
 
-/** The changes of the list that an answer brings. */
+/** Unpacks the list changes of an answer; `undefined` if it has none. */
 export function findListChanges({ packedChanges }: UpdatesRes): ListChanges | undefined {
   return packedChanges && (peers.unpackValue(packedChanges) as ListChanges);
 }
 
-/** The list that an answer brings, packed or as it is; nothing when there is no other one. */
+/** Returns the list of an answer, packed or not; `undefined` if it has none. */
 export function findList({ list, packedList }: UpdatesRes): UpstreamList | undefined {
   return packedList === undefined ? list : (peers.unpackValue(packedList) as UpstreamList);
 }
 
-/** What a core host does for its peers and for entry hosts. */
+/** Handlers of the procedures that a core host offers to peers and entry hosts. */
 export interface CoreHandlers {
   genesis(): Promise<consensus.Genesis>;
   vote(req: consensus.VoteReq): Promise<consensus.VoteRes>;
@@ -288,40 +288,40 @@
   snapshot(req: consensus.SnapshotReq): Promise<consensus.AppendRes>;
   hello(req: HelloReq): Promise<HelloRes>;
   news(req: UpdatesReq): Promise<UpdatesRes>;
-  /** Takes a document as the leader. */
+  /** Proposes a document, as the leader. */
   declare(document: intents.DeclaredDocument): Promise<intents.DeclareResult>;
   /** Places a generation, as the leader. */
   place(req: PlaceReq): Promise<PlaceRes>;
-  /** Says when a generation is to be handed over, and where to, as the leader. */
+  /** Waits until a generation is to migrate and returns its target engine, as the leader. */
   awaitHandOver(req: MigrationReq): Promise<MigrationRes>;
   release(req: ReleaseReq): Promise<void>;
-  /** Notes what became of a generation. */
+  /** Records an event of a generation. */
   noteRun(note: GenerationEvent): Promise<void>;
-  /** Lends a retry, as the leader. */
+  /** Grants a retry, as the leader. */
   borrowRetry(req: RetryGrantReq): Promise<RetryGrantRes>;
-  /** Takes what runs have shown of suspects, as the leader. */
+  /** Records outcomes of suspects' runs, as the leader. */
   reportSuspects(req: SuspectReport): Promise<{ readonly term: number }>;
-  /** Takes all that a host knows of suspects, as a leader that the host has just heard of. */
+  /** Merges all suspects of a host, as a leader that is new to the host. */
   shareSuspects(req: ShareSuspectsReq): Promise<ShareSuspectsRes>;
-  /** Says whether a suspect may be sent, as the leader. */
+  /** Decides whether a suspect may be sent, as the leader. */
   permitSuspect(req: SuspectPermitReq): Promise<routing.Permit>;
-  /** Takes what runs have shown of suspects for the hosts that hear no leader; whether the leader has it. */
+  /** Forwards outcomes of suspects' runs to the leader or else keeps them; returns whether the leader has them. */
   relaySuspects(req: SuspectReport): Promise<{ readonly isTaken: boolean }>;
-  /** Says whether a suspect may be sent, to a host that hears no leader. */
+  /** Decides whether a suspect may be sent, for a host without contact to the leader. */
   relayPermit(req: SuspectPermitReq): Promise<routing.Permit>;
-  /** Tells what others have told of suspects while nobody leads. */
+  /** Waits for suspects reported by other hosts while there is no leader. */
   awaitRelayed(req: RelayedUpdatesReq): Promise<RelayedUpdatesRes>;
-  /** The newest document, as the leader. */
+  /** Returns the newest document, as the leader. */
   read(): Promise<intents.DeclaredDocument | null>;
-  /** Takes an order on an availability zone, as the leader. */
+  /** Proposes the evacuation of an availability zone or its end, as the leader. */
   evacuate(entry: intents.EvacuationEntry): Promise<intents.EvacuationResult>;
-  /** Which availability zones are evacuated, as the leader. */
+  /** Returns the evacuated availability zones, as the leader. */
   readEvacuations(): Promise<intents.EvacuatedZones>;
 }
 
 const t = trpc.initTRPC.create();
 
-/** The procedures of a core host; every one has a deadline on the asking side. */
+/** Creates the router with a core host's procedures; the client sets a deadline on each request. */
 export function createCoreRouter(handlers: CoreHandlers) {
   return t.router({
     genesis: t.procedure.mutation(() => handlers.genesis()),
@@ -370,5 +370,5 @@
   });
 }
 
-/** The type of the router, for typed clients. */
+/** Type of the router, for typed clients. */
 export type CoreRouter = ReturnType<typeof createCoreRouter>;
--- a/packages/gateway/src/entry-host-registry.ts
+++ b/packages/gateway/src/entry-host-registry.ts
@@ -1,25 +1,25 @@
 import type * as schemas from '@bramleyridge/schemas';
 
-/** After how long without a question an entry host no longer counts, in milliseconds. */
-const GONE_MS = 3_000;
+/** Time without a poll after which an entry host no longer counts, in milliseconds. */
+const EXPIRY_MS = 3_000;
 
-/** The entry hosts that ask this core host for news. */
+/** The entry hosts that poll this core host. */
 export class EntryHostRegistry {
-  private readonly heardAt = new Map<string, number>();
+  private readonly polledAt = new Map<string, number>();
 
   public constructor(private readonly clock: schemas.Clock) {}
 
-  /** Notes a question. */
+  /** Records a poll. */
   public recordRequest(hostId: string): void {
-    this.heardAt.set(hostId, this.clock.now());
+    this.polledAt.set(hostId, this.clock.now());
   }
 
-  /** How many entry hosts there are. */
+  /** Counts the entry hosts that have polled recently. */
   public count(): number {
     const now = this.clock.now();
-    [...this.heardAt]
-      .filter(([, at]) => now - at > GONE_MS)
-      .forEach(([hostId]) => this.heardAt.delete(hostId));
-    return this.heardAt.size;
+    [...this.polledAt]
+      .filter(([, at]) => now - at > EXPIRY_MS)
+      .forEach(([hostId]) => this.polledAt.delete(hostId));
+    return this.polledAt.size;
   }
 }
--- a/packages/gateway/src/entry-update-service.ts
+++ b/packages/gateway/src/entry-update-service.ts
@@ -3,120 +3,120 @@
 
 import type * as coreGroups from './core-group.js';
 import type * as procedures from './core-procedures.js';
-import type * as coreTables from './core-host-registry.js';
-import type * as entryTables from './entry-host-registry.js';
-import type * as listDesks from './upstream-list-service.js';
-import type * as suspectDesks from './suspect-registry.js';
-import * as suspectLinks from './suspect-client.js';
+import type * as coreHostRegistries from './core-host-registry.js';
+import type * as entryHostRegistries from './entry-host-registry.js';
+import type * as upstreamListServices from './upstream-list-service.js';
+import type * as suspectRegistries from './suspect-registry.js';
+import * as suspectClients from './suspect-client.js';
 
 /**
- * How long a leader leads before it tells how many entry hosts there are, in milliseconds: each of them has asked by then.
- * Told of fewer, every host would take a larger share of retries and of calls to cold upstreams than it has.
+ * Time after which a new leader reports the number of entry hosts, in milliseconds: each of them has polled it by then.
+ * With a lower number, every host would use more than its share of the retries and of the calls to cold upstreams.
  */
-const COUNT_MS = 1_500;
+const COUNT_DELAY_MS = 1_500;
 
-/** How often it is looked whether this host has lost the lead, in milliseconds. */
-const LEAD_CHECK_MS = 50;
+/** Interval of the check whether this host has lost the leadership, in milliseconds. */
+const LEADERSHIP_CHECK_INTERVAL_MS = 50;
 
-/** Where news for entry hosts comes from. */
+/** Options of `EntryUpdateService`. */
 export interface EntryUpdateServiceOptions {
   readonly group: coreGroups.CoreGroup;
-  readonly registry: coreTables.CoreHostRegistry;
-  readonly entries: entryTables.EntryHostRegistry;
-  readonly lists: listDesks.UpstreamListService;
-  readonly suspects: suspectDesks.SuspectRegistry;
+  readonly coreRegistry: coreHostRegistries.CoreHostRegistry;
+  readonly entryRegistry: entryHostRegistries.EntryHostRegistry;
+  readonly upstreamList: upstreamListServices.UpstreamListService;
+  readonly suspects: suspectRegistries.SuspectRegistry;
   readonly clock: schemas.Clock;
 }
 
-/** Tells entry hosts what they lack: any core host what the log holds, the leader also what it knows besides. */
+/** Answers the polls of entry hosts: any core host sends what the log holds, the leader also its state outside the log. */
 export class EntryUpdateService {
-  private readonly leadLost = new schemas.ChangeSignal();
+  private readonly leadershipLost = new schemas.ChangeSignal();
   private isStopped = false;
 
   public constructor(private readonly options: EntryUpdateServiceOptions) {}
 
-  /** Watches whether this host loses the lead, until stopped. */
+  /** Monitors whether this host loses the leadership, until stopped. */
   public async run(): Promise<void> {
     const { clock, group } = this.options;
     while (!this.isStopped) {
       const wasLeading = group.isLeading();
-      await clock.sleep(LEAD_CHECK_MS);
+      await clock.sleep(LEADERSHIP_CHECK_INTERVAL_MS);
       if (wasLeading && !group.isLeading()) {
-        this.leadLost.notify();
+        this.leadershipLost.notify();
       }
     }
   }
 
-  /** Ends the task. */
+  /** Stops the monitoring. */
   public stop(): void {
     this.isStopped = true;
   }
 
-  /** Answers an entry host: at once when there is news, else when its wait is over. */
+  /** Answers an entry host's poll: at once if there are updates, otherwise when its wait is over. */
   public async answer(req: procedures.UpdatesReq): Promise<procedures.UpdatesRes> {
-    const { clock, entries, group, lists, suspects } = this.options;
-    entries.recordRequest(req.hostId);
+    const { clock, entryRegistry, group, upstreamList, suspects } = this.options;
+    entryRegistry.recordRequest(req.hostId);
     const end = clock.now() + req.waitMs;
     const wasLeading = group.isLeading();
-    // A host that waited on a leader without the lead would not look for another one, nor hear of suspects.
-    const isHeld = () => clock.now() < end && (!wasLeading || group.isLeading());
-    while (!this.hasNews(req) && isHeld()) {
+    // An entry host that waited on a former leader would neither look for the new one nor receive updates on suspects.
+    const mayHold = () => clock.now() < end && (!wasLeading || group.isLeading());
+    while (!this.hasUpdates(req) && mayHold()) {
       await Promise.race([
-        this.leadLost.wait(clock, end - clock.now()),
+        this.leadershipLost.wait(clock, end - clock.now()),
         group.state.changed.wait(clock, end - clock.now()),
-        lists.changed.wait(clock, end - clock.now()),
+        upstreamList.changed.wait(clock, end - clock.now()),
         suspects.changed.wait(clock, end - clock.now()),
         group.evacuations.changed.wait(clock, end - clock.now()),
       ]);
     }
-    return this.create(req);
+    return this.createAnswer(req);
   }
 
-  private hasNews(req: procedures.UpdatesReq): boolean {
+  private hasUpdates(req: procedures.UpdatesReq): boolean {
     const version = this.options.group.state.get()?.version ?? -1;
     return (
       version > req.version ||
       this.findNewEvacuations(req) !== undefined ||
       this.findNewList(req) !== undefined ||
-      this.findSuspectNews(req) !== undefined
+      this.findSuspectUpdates(req) !== undefined
     );
   }
 
-  private create(req: procedures.UpdatesReq): procedures.UpdatesRes {
-    const { entries, group, lists, registry: table } = this.options;
+  private createAnswer(req: procedures.UpdatesReq): procedures.UpdatesRes {
+    const { entryRegistry, group, upstreamList, coreRegistry } = this.options;
     const document = group.state.get();
     const isLeading = group.isLeading();
     const list = this.findNewList(req);
     const hasChanges = req.takesChanges === true && list !== undefined;
-    const packedChanges = hasChanges ? lists.getPackedChanges(req.listStamp) : undefined;
+    const packedChanges = hasChanges ? upstreamList.getPackedChanges(req.listStamp) : undefined;
     const isWhole = list !== undefined && packedChanges === undefined;
     const isPacked = req.takesPacked === true && isWhole;
     return {
       document: document !== undefined && document.version > req.version ? document : undefined,
       list: isWhole && !isPacked ? list : undefined,
-      packedList: isPacked ? lists.getPackedList() : undefined,
+      packedList: isPacked ? upstreamList.getPackedList() : undefined,
       packedChanges,
-      listAgeMs: isLeading ? lists.getAgeMs() : undefined,
-      listPeriodMs: isLeading ? lists.getPeriodMs() : undefined,
+      listAgeMs: isLeading ? upstreamList.getAgeMs() : undefined,
+      listPeriodMs: isLeading ? upstreamList.getPeriodMs() : undefined,
       isCurrent: group.isCurrent(),
       leader: group.voter?.leader,
-      cores: table.listAll(),
-      entryHosts: this.isCounted() ? entries.count() : undefined,
-      suspects: this.findSuspectNews(req),
+      cores: coreRegistry.listAll(),
+      entryHosts: this.hasCompleteCount() ? entryRegistry.count() : undefined,
+      suspects: this.findSuspectUpdates(req),
       evacuations: this.findNewEvacuations(req),
       quarantined:
-        isLeading || req.suspects?.term !== suspectLinks.NO_TERM
+        isLeading || req.suspects?.term !== suspectClients.NO_TERM
           ? undefined
           : group.quarantine.list(),
     };
   }
 
-  private isCounted(): boolean {
+  private hasCompleteCount(): boolean {
     const { clock, group } = this.options;
-    return group.isLeading() && clock.now() - group.getLeadership().startedAt >= COUNT_MS;
+    return group.isLeading() && clock.now() - group.getLeadership().startedAt >= COUNT_DELAY_MS;
   }
 
-  private findSuspectNews(req: procedures.UpdatesReq): procedures.SuspectUpdates | undefined {
+  private findSuspectUpdates(req: procedures.UpdatesReq): procedures.SuspectUpdates | undefined {
     const { group, suspects } = this.options;
     if (req.suspects === undefined || !group.isLeading()) {
       return undefined;
@@ -133,7 +133,7 @@
   }
 
   private findNewList(req: procedures.UpdatesReq): procedures.UpstreamList | undefined {
-    const list = this.options.lists.getList();
+    const list = this.options.upstreamList.getList();
     const isNew = this.options.group.isLeading() && list?.stamp !== req.listStamp;
     return isNew ? list : undefined;
   }
--- a/packages/gateway/src/membership-manager.ts
+++ b/packages/gateway/src/membership-manager.ts
@@ -1,132 +1,139 @@
 import * as consensus from '@bramleyridge/consensus';
 import * as schemas from '@bramleyridge/schemas';
 
-import type * as coreTables from './core-host-registry.js';
+import type * as coreHostRegistries from './core-host-registry.js';
 
-/** How often the leader looks the seats over, in milliseconds. */
-const SEATS_MS = 300;
+/** Interval at which the leader checks the voter slots, in milliseconds. */
+const CHECK_INTERVAL_MS = 300;
 
 /**
- * How long the holder of a seat may be silent before a spare host takes it, in milliseconds. A host that is gone for
- * good is no longer counted as lost 4 s after its stand-in started, so by then the stand-in must have the seat: 1.5 s of
- * silence, 0.3 s until it is looked over and under 0.1 s for the change leave two seconds for an election in between. A
- * process that is killed is back after 1 to 1.5 s. To take one for gone that returns costs a snapshot of 100 KB and two
- * entries of the log, and it stands by as a spare from then on; to wait for one that doesn't leaves the log one loss
- * from its end. In logs of the running programs a seat counts again 1.6 to 1.7 s after its holder was lost.
+ * Time for which a voter may be silent before a spare host replaces it, in milliseconds. A host that is lost permanently
+ * no longer counts as lost 4 s after its replacement has started, so by then the replacement must be a voter: 1.5 s of
+ * silence, 0.3 s until the next check and under 0.1 s for the membership change leave two seconds for an election in
+ * between. A killed process is back after 1 to 1.5 s. Replacing a host that returns costs a snapshot of 100 KB and two log
+ * entries, and the host becomes a spare; waiting for one that does not return leaves the group with no loss to tolerate.
+ * In the logs of running deployments, a slot is filled 1.6 to 1.7 s after its voter was lost.
  */
-const SEAT_PATIENCE_MS = 1_500;
+const REPLACE_AFTER_MS = 1_500;
 
-/** Within which a host counts as live when seats are filled, in milliseconds: three greetings. */
-const SEAT_LIVE_MS = 1_200;
+/** Time since its last announcement within which a host counts as live, in milliseconds: three announcements. */
+const LIVE_MS = 1_200;
 
-/** For how long others go before a host that failed to catch up, in milliseconds. */
-const AVOID_MS = 1_000;
+/** Time for which a host that failed to catch up is not chosen, in milliseconds; other spares are tried meanwhile. */
+const SKIP_FAILED_MS = 1_000;
 
 /**
- * How long a host that is told to stop waits until its seat is given away, in milliseconds. A change takes under 0.1 s
- * and a newcomer that is silent is given up after 1.2 s; the deployments give 8 s before a process is killed.
+ * Time for which a stopping host waits until another host has its voter slot, in milliseconds. A membership change takes
+ * under 0.1 s, and a new voter that is silent is given up after 1.2 s; deployments allow 8 s before a process is killed.
  */
-const LEAVE_MS = 2_500;
+const LEAVE_TIMEOUT_MS = 2_500;
 
-/** How often a host that leaves looks whether its seat is given away, in milliseconds. */
-const LEAVE_POLL_MS = 20;
+/** Interval at which a leaving host checks whether its voter slot is handed over, in milliseconds. */
+const LEAVE_POLL_INTERVAL_MS = 20;
 
-/** What keeping the seats needs. */
+/** Options of `MembershipManager`. */
 export interface MembershipManagerOptions {
   readonly coreId: string;
   readonly availabilityZone: string;
   readonly voterSlotCount: number;
-  readonly registry: coreTables.CoreHostRegistry;
+  readonly registry: coreHostRegistries.CoreHostRegistry;
   readonly findVoter: () => consensus.Voter | undefined;
-  /** Whether this host leads and a majority has lately confirmed it. */
+  /** Whether this host leads and a majority has recently confirmed it. */
   readonly isLeading: () => boolean;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
 }
 
-/** As the leader, gives the seats of hosts that are lost or leave to others; on any host, gives its own up when it stops. */
+/** On the leader, replaces voters that are lost or leaving by spare hosts; on any host, leaves the voters before a stop. */
 export class MembershipManager {
-  /** Whether this host is about to stop and wants no seat. */
+  /** Whether this host is about to stop and must not become or stay a voter. */
   public isLeaving = false;
-  private notedSilent = '';
-  private readonly avoidedUntil = new Map<string, number>();
+  private loggedSilent = '';
+  private readonly skippedUntil = new Map<string, number>();
 
   public constructor(private readonly options: MembershipManagerOptions) {}
 
-  /** Looks the seats over until stopped. */
+  /** Checks the voter slots at a fixed interval until stopped. */
   public async run(signal: AbortSignal): Promise<void> {
     const { clock, isLeading } = this.options;
     while (!signal.aborted) {
       const voter = this.options.findVoter();
       if (isLeading() && voter?.leadership !== undefined) {
-        this.noteSilentSeats(voter.leadership);
-        await this.reseat(voter, voter.leadership);
+        this.logSilentVoters(voter.leadership);
+        await this.replaceVoters(voter, voter.leadership);
       }
-      await clock.sleep(this.isLeaving ? LEAVE_POLL_MS : SEATS_MS, signal).catch(() => {});
+      await clock
+        .sleep(this.isLeaving ? LEAVE_POLL_INTERVAL_MS : CHECK_INTERVAL_MS, signal)
+        .catch(() => {});
     }
   }
 
   /**
-   * Waits until this host's seat is given away, as far as there is somebody to take it. A host that stopped with its seat
-   * would be a loss until it is back or taken for gone, and the next one could come before.
+   * Waits until this host is no longer a voter, as long as a spare can take its slot. A host that stopped as a voter would
+   * count as lost until it is back or replaced, and another loss could occur before that.
    */
   public async leave(): Promise<void> {
     const { clock, log } = this.options;
     this.isLeaving = true;
     const startedAt = clock.now();
-    while (clock.now() - startedAt < LEAVE_MS && this.canGiveSeat()) {
-      await clock.sleep(LEAVE_POLL_MS);
+    while (clock.now() - startedAt < LEAVE_TIMEOUT_MS && this.canHandOverSlot()) {
+      await clock.sleep(LEAVE_POLL_INTERVAL_MS);
     }
     const voter = this.options.findVoter();
     const isSeated = voter !== undefined && isNeeded(voter);
     log.info({ event: 'seat-left', isSeated, tookMs: Math.round(clock.now() - startedAt) });
   }
 
-  private canGiveSeat(): boolean {
+  private canHandOverSlot(): boolean {
     const voter = this.options.findVoter();
     if (voter === undefined || voter.stopped || voter.leader === undefined || !isNeeded(voter)) {
       return false;
     }
-    const { former, seats } = voter.entries.getVoterSet();
-    const isUnderWay = former !== undefined || !isIn(seats, voter);
-    const spare = this.listLive().find((host) => host.isLeaving !== true && !isIn(seats, host));
-    return isUnderWay || spare !== undefined;
+    const { former, seats: slots } = voter.entries.getVoterSet();
+    const isChanging = former !== undefined || !isIn(slots, voter);
+    const spare = this.listLive().find((host) => host.isLeaving !== true && !isIn(slots, host));
+    return isChanging || spare !== undefined;
   }
 
   private listLive(): consensus.VoterSlotCandidate[] {
-    return this.options.registry.listCandidates().filter((host) => host.silentMs <= SEAT_LIVE_MS);
+    return this.options.registry.listCandidates().filter((host) => host.silentMs <= LIVE_MS);
   }
 
-  /** While a seat is silent the log bears one loss less; how many are left is what somebody on call needs first. */
-  private noteSilentSeats(leadership: consensus.Leadership): void {
-    const silent = leadership.listLaggingVoters().map((seat) => seat.daemonId);
-    if (silent.join() === this.notedSilent) {
+  /** Logs silent voters and the losses still tolerated: each silent voter lowers that number, which operators need first. */
+  private logSilentVoters(leadership: consensus.Leadership): void {
+    const silent = leadership.listLaggingVoters().map((slot) => slot.daemonId);
+    if (silent.join() === this.loggedSilent) {
       return;
     }
-    this.notedSilent = silent.join();
+    this.loggedSilent = silent.join();
     const lossesBorne = leadership.countTolerableLosses();
     const hostsHeard = this.listLive().length;
     this.options.log.warn({ event: 'seats-silent', silent, lossesBorne, hostsHeard });
   }
 
-  private async reseat(voter: consensus.Voter, leadership: consensus.Leadership): Promise<void> {
+  private async replaceVoters(
+    voter: consensus.Voter,
+    leadership: consensus.Leadership,
+  ): Promise<void> {
     const { clock, log } = this.options;
     let added: string[] = [];
     let removed: string[] = [];
-    let newcomers: consensus.VoterSlot[] = [];
+    let newVoters: consensus.VoterSlot[] = [];
     try {
-      await leadership.changeVoters((seats) => {
-        const next = this.plan(voter, leadership, seats);
+      await leadership.changeVoters((slots) => {
+        const next = this.plan(voter, leadership, slots);
         if (next !== undefined) {
-          newcomers = without(next, seats);
-          added = newcomers.map((seat) => seat.daemonId);
-          removed = without(seats, next).map((seat) => seat.daemonId);
+          newVoters = without(next, slots);
+          added = newVoters.map((slot) => slot.daemonId);
+          removed = without(slots, next).map((slot) => slot.daemonId);
           log.info({ decision: 'seat', peer: added.join(), instead: removed.join() });
         }
         return next;
       });
     } catch (err) {
-      newcomers.forEach((seat) => this.avoidedUntil.set(seat.voterId, clock.now() + AVOID_MS));
+      newVoters.forEach((slot) =>
+        this.skippedUntil.set(slot.voterId, clock.now() + SKIP_FAILED_MS),
+      );
       log.warn({ event: 'seat-repair-failed', err: schemas.toError(err).message });
       return;
     }
@@ -139,9 +146,9 @@
   private plan(
     voter: consensus.Voter,
     leadership: consensus.Leadership,
-    seats: readonly consensus.VoterSlot[],
+    slots: readonly consensus.VoterSlot[],
   ): readonly consensus.VoterSlot[] | undefined {
-    const { availabilityZone, coreId, registry: table, voterSlotCount: wantedSeats } = this.options;
+    const { availabilityZone, coreId, registry, voterSlotCount } = this.options;
     const { isLeaving } = this;
     const own = {
       daemonId: coreId,
@@ -150,51 +157,53 @@
       availabilityZone,
       isLeaving,
     };
-    const candidates = [own, ...table.listCandidates()];
-    const held = seats.map((seat) => ({
-      ...seat,
-      silentMs: this.getSilentMs(leadership, seat, candidates),
+    const candidates = [own, ...registry.listCandidates()];
+    const withSilence = slots.map((slot) => ({
+      ...slot,
+      silentMs: this.getSilentMs(leadership, slot, candidates),
     }));
     return consensus.planVoterSlots({
-      // The leader first: where there are too many to choose from it stays, and nobody has to be elected.
-      slots: held.sort((a, b) => Number(isOf(b, own)) - Number(isOf(a, own))),
-      candidates: candidates.filter((host) => !this.isAvoided(host)),
-      slotCount: wantedSeats,
-      replaceAfterMs: SEAT_PATIENCE_MS,
-      liveMs: SEAT_LIVE_MS,
+      // The leader is first: if there are more voters than slots it stays, and no election is needed.
+      slots: withSilence.sort((a, b) => Number(isOf(b, own)) - Number(isOf(a, own))),
+      candidates: candidates.filter((host) => !this.isSkipped(host)),
+      slotCount: voterSlotCount,
+      replaceAfterMs: REPLACE_AFTER_MS,
+      liveMs: LIVE_MS,
     });
   }
 
   /**
-   * For how long a seat has held nothing new. A leader that has just risen has no answer of a host that died with the
-   * one before, but may have been greeted by it last; without that the time that the election took would be lost.
+   * Returns the time for which a voter has not withSilence new entries, in milliseconds. A newly elected leader has no answer yet
+   * from a voter that was lost before the election, but may have its last announcement; without it, the duration of the
+   * election would not count.
    */
   private getSilentMs(
     leadership: consensus.Leadership,
-    seat: consensus.VoterSlot,
+    slot: consensus.VoterSlot,
     candidates: readonly consensus.VoterSlotCandidate[],
   ): number {
-    const silentMs = leadership.getLagMs(seat);
-    const greetedMs = candidates.find((host) => isOf(host, seat))?.silentMs ?? 0;
-    return leadership.hasCaughtUp(seat) ? silentMs : Math.max(silentMs, greetedMs);
+    const silentMs = leadership.getLagMs(slot);
+    const sinceAnnouncementMs = candidates.find((host) => isOf(host, slot))?.silentMs ?? 0;
+    return leadership.hasCaughtUp(slot) ? silentMs : Math.max(silentMs, sinceAnnouncementMs);
   }
 
-  private isAvoided({ voterId }: consensus.VoterSlot): boolean {
-    return this.options.clock.now() < (this.avoidedUntil.get(voterId) ?? -Infinity);
+  private isSkipped({ voterId }: consensus.VoterSlot): boolean {
+    return this.options.clock.now() < (this.skippedUntil.get(voterId) ?? -Infinity);
   }
 }
 
 /**
- * Whether the others still need this voter. A change that stands in its log alone, or is half done, may not be finished
- * by those that are left: gone in that moment, a leader left them with four votes of which two were lost.
+ * Whether the group still needs this voter. The remaining voters may not be able to finish a membership change that is
+ * only in this voter's log or still in progress: a leader that stopped at that moment left them with four voters, two of
+ * which were lost.
  */
 function isNeeded(voter: consensus.Voter): boolean {
-  const { former = [], seats } = voter.entries.getVoterSetAt(voter.commitIndex);
-  return isIn([...seats, ...former], voter);
+  const { former = [], seats: slots } = voter.entries.getVoterSetAt(voter.commitIndex);
+  return isIn([...slots, ...former], voter);
 }
 
-function isIn(seats: readonly consensus.VoterSlot[], { voterId }: { readonly voterId: string }) {
-  return seats.some((seat) => seat.voterId === voterId);
+function isIn(slots: readonly consensus.VoterSlot[], { voterId }: { readonly voterId: string }) {
+  return slots.some((slot) => slot.voterId === voterId);
 }
 
 function isOf(some: consensus.VoterSlot, other: consensus.VoterSlot): boolean {
@@ -202,8 +211,8 @@
 }
 
 function without(
-  seats: readonly consensus.VoterSlot[],
+  slots: readonly consensus.VoterSlot[],
   others: readonly consensus.VoterSlot[],
 ): consensus.VoterSlot[] {
-  return seats.filter((seat) => !isIn(others, seat));
+  return slots.filter((slot) => !isIn(others, slot));
 }
--- a/packages/gateway/src/update-poller.ts
+++ b/packages/gateway/src/update-poller.ts
@@ -4,35 +4,36 @@
 import type * as procedures from './core-procedures.js';
 
 /**
- * How long a core host keeps a question open while it has no news, in milliseconds. Together with the time for the
- * answer it is under a third of the 3 s within which a healed host must work by its rules again, so a
- * connection that fell silent is found out and replaced in time.
+ * Time for which a core host holds a poll open while there are no updates, in milliseconds. Together with the answer
+ * time it is under a third of the 3 s within which a host must be up to date after a partition heals, so a silent
+ * connection is detected and replaced in time.
  */
-const WAIT_MS = 500;
+const HOLD_MS = 500;
 
-/** How long the answer may take beyond that, in milliseconds. */
-const ANSWER_MS = 400;
+/** Time that the answer may take beyond the hold time, in milliseconds. */
+const ANSWER_MARGIN_MS = 400;
 
-/** How long a core host that failed is passed over, in milliseconds. */
-const AVOID_MS = 1_000;
+/** Time for which a core host that failed is skipped, in milliseconds. */
+const SKIP_FAILED_MS = 1_000;
 
 /**
- * The pause after a question that failed, or that a host without a leader answered, in milliseconds. It doubles, up to a
- * most, and is drawn anew each time: after a loss of power of all, hundreds of hosts look for a leader at once.
+ * Bounds of the backoff after a poll that failed or that was answered by a host without a leader, in milliseconds. The
+ * backoff doubles up to the maximum and is jittered: after a power loss of all hosts, hundreds of them look for a leader
+ * at once.
  */
-const FIRST_PAUSE_MS = 25;
-const MOST_PAUSE_MS = 250;
+const MIN_BACKOFF_MS = 25;
+const MAX_BACKOFF_MS = 250;
 
-/** The shortest time between two questions, in milliseconds; a stream of news must not fill the link. */
-const MIN_GAP_MS = 10;
+/** Minimum time between two polls, in milliseconds; a burst of updates must not saturate the connection. */
+const MIN_POLL_INTERVAL_MS = 10;
 
 /**
- * How long an entry host that has just started waits for a core host whose word is current, in milliseconds, before
- * it serves by the best that it could get. In a zone that is cut off nothing better will come.
+ * Time for which an entry host that has just started waits for a core host whose state is current, in milliseconds,
+ * before it serves with the state that it has received. In a partitioned zone no newer state arrives.
  */
-const ALONE_MS = 3_000;
+const TRUST_ANY_AFTER_MS = 3_000;
 
-/** What the link needs. */
+/** Options of `UpdatePoller`. */
 export interface UpdatePollerOptions {
   readonly mesh: coreMeshes.CoreMesh;
   readonly listSeeds: () => readonly string[];
@@ -40,51 +41,51 @@
   readonly log: schemas.Log;
   readonly random: () => number;
   readonly createRequest: (waitMs: number) => procedures.UpdatesReq;
-  /** Takes an answer; `isTrusted` tells that it may be served by. */
-  readonly onUpdates: (news: procedures.UpdatesRes, isTrusted: boolean) => void;
+  /** Handles an answer; `isTrusted` says whether the host may serve with this state. */
+  readonly onUpdates: (updates: procedures.UpdatesRes, isTrusted: boolean) => void;
 }
 
-/** The task that keeps an entry host up to date: one open question at the leader, or at whom answers. */
+/** Keeps an entry host up to date: long-polls the leader, or another core host that answers. */
 export class UpdatePoller {
-  /** Tells that the leader was lost or found. */
+  /** Signals that the leader became reachable or unreachable. */
   public readonly leaderChanged = new schemas.ChangeSignal();
   private readonly failedAt = new Map<string, number>();
   private cores: readonly string[] = [];
   private leader: string | undefined;
   private lastTarget: string | undefined;
   private isLost = false;
-  /** Whether the last answer came from a host that knows what is newest; nothing before the first. */
+  /** Whether the last answer came from a host whose state is current; `undefined` before the first answer. */
   private isCurrent: boolean | undefined;
   private isStopped = false;
-  /** Questions in a row that failed, or were answered by a host without a leader. */
-  private misses = 0;
+  /** Number of consecutive polls that failed or were answered by a host without a leader. */
+  private failedPolls = 0;
   private readonly startedAt: number;
 
   public constructor(private readonly options: UpdatePollerOptions) {
     this.startedAt = options.clock.now();
   }
 
-  /** Asks until stopped. */
+  /** Polls until stopped. */
   public async run(): Promise<void> {
     const { clock } = this.options;
     while (!this.isStopped) {
-      const askedAt = clock.now();
-      const reachedLeader = this.reachesLeader();
-      const isUseful = (await this.askOne()) && this.isCurrent === true;
-      if (this.reachesLeader() !== reachedLeader) {
+      const polledAt = clock.now();
+      const wasLeaderReachable = this.reachesLeader();
+      const isCurrentAnswer = (await this.poll()) && this.isCurrent === true;
+      if (this.reachesLeader() !== wasLeaderReachable) {
         this.leaderChanged.notify();
       }
-      this.misses = isUseful ? 0 : this.misses + 1;
-      await clock.sleep(Math.max(0, this.getPauseMs() - (clock.now() - askedAt)));
+      this.failedPolls = isCurrentAnswer ? 0 : this.failedPolls + 1;
+      await clock.sleep(Math.max(0, this.getDelayMs() - (clock.now() - polledAt)));
     }
   }
 
-  /** The leader, as the last answer named it. */
+  /** Returns the leader that the last answer named; `undefined` if the last poll failed. */
   public findLeader(): string | undefined {
     return this.isLost ? undefined : this.leader;
   }
 
-  /** Whether the last answer came from the leader itself; also while the first one is awaited. */
+  /** Whether the last answer came from the leader itself. Also true until the first answer or failure. */
   public reachesLeader(): boolean {
     if (this.isCurrent === undefined) {
       return !this.isLost;
@@ -92,36 +93,36 @@
     return !this.isLost && this.isCurrent && this.lastTarget === this.leader;
   }
 
-  /** All core hosts that are known by name. */
+  /** Lists all known core hosts by name. */
   public listCores(): string[] {
     return [...new Set([...this.cores, ...this.options.listSeeds()])];
   }
 
-  /** Ends the task. */
+  /** Stops polling. */
   public stop(): void {
     this.isStopped = true;
   }
 
-  private getPauseMs(): number {
-    if (this.misses === 0) {
-      return MIN_GAP_MS;
+  private getDelayMs(): number {
+    if (this.failedPolls === 0) {
+      return MIN_POLL_INTERVAL_MS;
     }
-    const pauseMs = Math.min(MOST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (this.misses - 1));
-    return pauseMs * (0.5 + this.options.random());
+    const backoffMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** (this.failedPolls - 1));
+    return backoffMs * (0.5 + this.options.random());
   }
 
-  private async askOne(): Promise<boolean> {
-    const { clock, createRequest: createAsk, log, mesh } = this.options;
+  private async poll(): Promise<boolean> {
+    const { clock, createRequest, log, mesh } = this.options;
     const target = this.chooseTarget();
     if (target === undefined) {
       return false;
     }
     try {
-      const ask = createAsk(target === this.lastTarget ? WAIT_MS : 0);
-      const context = { deadlineMs: ask.waitMs + ANSWER_MS };
-      const news = await mesh.get(target).news.mutate(ask, { context });
-      // By its types a call's answer went through JSON; the link's frames carry bytes as they are.
-      this.take(target, news as procedures.UpdatesRes);
+      const req = createRequest(target === this.lastTarget ? HOLD_MS : 0);
+      const context = { deadlineMs: req.waitMs + ANSWER_MARGIN_MS };
+      const updates = await mesh.get(target).news.mutate(req, { context });
+      // tRPC infers the types of a JSON round trip, but the peer protocol's frames carry bytes unchanged.
+      this.handleAnswer(target, updates as procedures.UpdatesRes);
       return true;
     } catch (err) {
       this.failedAt.set(target, clock.now());
@@ -134,32 +135,32 @@
     }
   }
 
-  private take(target: string, news: procedures.UpdatesRes): void {
+  private handleAnswer(target: string, updates: procedures.UpdatesRes): void {
     const { clock, log } = this.options;
-    // Moving from one core host to another is no news: a host that has just started does so a hundred times a second
-    // until there is a leader.
-    if (this.isLost || this.isCurrent !== news.isCurrent) {
-      log.info({ event: 'core-regained', peer: target, isCurrent: news.isCurrent });
+    // A switch between core hosts is not logged: a host that has just started may switch a hundred times a second until
+    // a leader is elected.
+    if (this.isLost || this.isCurrent !== updates.isCurrent) {
+      log.info({ event: 'core-regained', peer: target, isCurrent: updates.isCurrent });
     }
-    this.isCurrent = news.isCurrent;
+    this.isCurrent = updates.isCurrent;
     this.isLost = false;
     this.lastTarget = target;
-    this.cores = news.cores;
-    this.leader = news.leader;
-    // What a core host says that hears no leader may be old; another may know better.
-    if (!news.isCurrent) {
+    this.cores = updates.cores;
+    this.leader = updates.leader;
+    // The state of a core host without contact to a leader may be stale, and another core host may have a newer one.
+    if (!updates.isCurrent) {
       this.failedAt.set(target, clock.now());
     }
-    const isAlone = clock.now() - this.startedAt > ALONE_MS;
-    this.options.onUpdates(news, news.isCurrent || isAlone);
+    const mayTrustAny = clock.now() - this.startedAt > TRUST_ANY_AFTER_MS;
+    this.options.onUpdates(updates, updates.isCurrent || mayTrustAny);
   }
 
-  /** The leader while it answers, then the one that answered last, then any that did not just fail. */
+  /** Chooses the leader while it answers, then the host that answered last, then any host that has not just failed. */
   private chooseTarget(): string | undefined {
     const { clock, random } = this.options;
     const all = this.listCores();
     const isUsable = (coreId: string) =>
-      clock.now() - (this.failedAt.get(coreId) ?? -Infinity) > AVOID_MS;
+      clock.now() - (this.failedAt.get(coreId) ?? -Infinity) > SKIP_FAILED_MS;
     const usable = all.filter(isUsable);
     if (this.leader !== undefined && usable.includes(this.leader)) {
       return this.leader;
@@ -167,7 +168,7 @@
     if (this.lastTarget !== undefined && usable.includes(this.lastTarget)) {
       return this.lastTarget;
     }
-    const pool = usable.length > 0 ? usable : all;
-    return pool[Math.floor(random() * pool.length)];
+    const candidates = usable.length > 0 ? usable : all;
+    return candidates[Math.floor(random() * candidates.length)];
   }
 }
--- a/packages/gateway/tests/entry-update-service.test.ts
+++ b/packages/gateway/tests/entry-update-service.test.ts
@@ -1,10 +1,10 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as tap from 'tap';
 
-import * as entryNews from '../src/entry-update-service.js';
-import * as entryTables from '../src/entry-host-registry.js';
+import * as entryUpdateServices from '../src/entry-update-service.js';
+import * as entryHostRegistries from '../src/entry-host-registry.js';
 
-function createNews(clock: schemas.Clock) {
+function createService(clock: schemas.Clock) {
   const signal = new schemas.ChangeSignal();
   const group = {
     state: { get: () => undefined, changed: signal },
@@ -14,11 +14,11 @@
     getLeadership: () => ({ term: 1, startedAt: 0 }),
     voter: { leader: 'c1' },
   };
-  return new entryNews.EntryUpdateService({
+  return new entryUpdateServices.EntryUpdateService({
     group: group as never,
-    registry: { listAll: () => ['c1'] } as never,
-    entries: new entryTables.EntryHostRegistry(clock),
-    lists: {
+    coreRegistry: { listAll: () => ['c1'] } as never,
+    entryRegistry: new entryHostRegistries.EntryHostRegistry(clock),
+    upstreamList: {
       getList: () => undefined,
       getAgeMs: () => undefined,
       getPeriodMs: () => 300,
@@ -33,12 +33,12 @@
   return { hostId, version: 0, listStamp: '', waitMs: 0 };
 }
 
-// Guards against shares of a small fleet: a leader that has just risen has heard few of the hosts.
-void tap.default.test('a new leader does not tell yet how many hosts there are', async (t) => {
+// Guards against hosts that compute their shares for too small a fleet: few hosts have polled a newly elected leader.
+void tap.default.test('a new leader does not report the number of entry hosts yet', async (t) => {
   const clock = new schemas.VirtualClock();
-  const news = createNews(clock);
-  t.equal((await news.answer(createReq('h1'))).entryHosts, undefined);
+  const service = createService(clock);
+  t.equal((await service.answer(createReq('h1'))).entryHosts, undefined);
   await clock.advance(1_600);
-  await news.answer(createReq('h2'));
-  t.equal((await news.answer(createReq('h1'))).entryHosts, 2);
+  await service.answer(createReq('h2'));
+  t.equal((await service.answer(createReq('h1'))).entryHosts, 2);
 });
