--- a/packages/gateway/src/entry-host.ts
+++ b/packages/gateway/src/entry-host.ts
@@ -7,57 +7,57 @@
 import type * as telemetry from '@bramleyridge/telemetry';
 
 import * as callAdmissions from './call-admission.js';
-import * as coreLinks from './update-poller.js';
+import * as updatePollers from './update-poller.js';
 import * as coreMeshes from './core-mesh.js';
 import * as procedures from './core-procedures.js';
 import * as crashGuards from './crash-guard.js';
 import * as entryListReaders from './entry-list-reader.js';
-import * as faceServers from './http-listener.js';
+import * as httpListeners from './http-listener.js';
 import * as hostSettings from './host-settings.js';
-import type * as listReaders from './upstream-list-reader.js';
-import * as poolClients from './placement-client.js';
+import type * as upstreamListReaders from './upstream-list-reader.js';
+import * as placementClients from './placement-client.js';
 import type * as ports from './ports.js';
-import * as relayClients from './suspect-relay-client.js';
+import * as suspectRelayClients from './suspect-relay-client.js';
 import * as retryShares from './retry-shares.js';
 import * as routedFlows from './routed-flow.js';
-import * as routedStores from './routed-configuration-store.js';
-import type * as settingsWatches from './settings-watcher.js';
-import * as suspectLinks from './suspect-client.js';
+import * as routedConfigurationStores from './routed-configuration-store.js';
+import type * as settingsWatchers from './settings-watcher.js';
+import * as suspectClients from './suspect-client.js';
 import * as upstreamDirectories from './upstream-directory.js';
 import * as upstreamPickers from './upstream-picker.js';
 
-/** How long a connection to an upstream may take to be made, in milliseconds; the farthest takes under 10. */
-const CONNECT_MS = 150;
+/** Connect timeout to an upstream, in milliseconds; the farthest upstream needs under 10. */
+const CONNECT_TIMEOUT_MS = 150;
 
-/** How long a core host may take to answer, in milliseconds, where the question does not say. */
+/** Default deadline of a request to a core host, in milliseconds. */
 const PEER_DEADLINE_MS = 500;
 
-/** Connections that are kept to one upstream at most; calls beyond wait for one, a few milliseconds. */
-const KEPT_CONNECTIONS = 16;
+/** Maximum number of connections kept to one upstream; further calls wait a few milliseconds for one. */
+const MAX_CONNECTIONS = 16;
 
-/** How many entry hosts there are taken to be before the leader has told. */
+/** Assumed number of entry hosts until the leader has reported it. */
 const ASSUMED_ENTRY_HOSTS = 16;
 
 /**
- * How long the balancer may still send new connections after readiness fails, in milliseconds: it asks once a
- * second and takes a host out after two misses.
+ * Time for which the load balancer may still send new connections after readinessListener fails, in milliseconds: it probes
+ * once a second and removes a host after two failures.
  */
 const BALANCER_LAG_MS = 3_000;
 
-/** What a caller is told to wait before it goes to another host, in seconds. */
-const STOPPING_RETRY_S = 0.1;
+/** `Retry-After` of calls refused during a stop, in seconds: the caller can go to another host at once. */
+const STOPPING_RETRY_AFTER_S = 0.1;
 
-/** How long connections that are not idle may take to end after the last call, in milliseconds. */
-const CLOSE_MS = 200;
+/** Time for which connections that are not idle may stay open after the last call, in milliseconds. */
+const CLOSE_GRACE_MS = 200;
 
-/** What an entry host needs besides its settings. */
+/** Options of `EntryHost`. */
 export interface EntryHostOptions {
-  readonly settings: settingsWatches.SettingsWatcher;
+  readonly settings: settingsWatchers.SettingsWatcher;
   readonly wire: ports.CallWire;
   readonly codec: ports.DocumentCodec;
   readonly source: ports.UpstreamSource;
   readonly engines: ports.EngineControl;
-  /** The path at which the balancer asks whether this host is ready. */
+  /** Path of the load balancer's readinessListener probe. */
   readonly readyPath: string;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
@@ -65,27 +65,27 @@
   readonly random: () => number;
 }
 
-/** An entry host: admits, sends and delivers the calls of its callers. */
+/** An entry host: admits calls, sends them to upstreams and delivers the answers. */
 export class EntryHost {
-  public readonly store: routedStores.RoutedConfigurationStore;
+  public readonly store: routedConfigurationStores.RoutedConfigurationStore;
   public readonly directory: upstreamDirectories.UpstreamDirectory;
   private readonly evacuations = new intents.EvacuationState();
   private readonly mesh = new coreMeshes.CoreMesh(PEER_DEADLINE_MS);
-  private readonly link: coreLinks.UpdatePoller;
-  private readonly reader: listReaders.UpstreamListReader;
+  private readonly poller: updatePollers.UpdatePoller;
+  private readonly listReader: upstreamListReaders.UpstreamListReader;
   private readonly client: requests.UpstreamClient;
   private readonly shares: retryShares.RetryShares;
-  private readonly suspects: suspectLinks.SuspectClient;
+  private readonly suspects: suspectClients.SuspectClient;
   private readonly picker: upstreamPickers.UpstreamPicker;
   private readonly flow: routedFlows.RoutedFlow;
   private readonly drain: requests.Drain;
-  private readonly callers: faceServers.HttpListener;
-  private readonly readiness: faceServers.HttpListener;
-  /** Until when calls are taken, on this host's clock. */
-  private takesUntil = Infinity;
-  /** How many entry hosts there are, as a leader has told. */
+  private readonly callerListener: httpListeners.HttpListener;
+  private readonly readinessListener: httpListeners.HttpListener;
+  /** Time until which calls are accepted, on this host's clock. */
+  private acceptsUntil = Infinity;
+  /** Number of entry hosts, as reported by a leader. */
   private entryHosts: number | undefined;
-  /** The pause between two readings of the list by the leader, in milliseconds. */
+  /** Interval at which the leader reads the list, in milliseconds. */
   private listPeriodMs = 0;
   private stopping: Promise<void> | undefined;
 
@@ -93,7 +93,7 @@
     const { clock, codec, log, random, source, wire } = options;
     const settings = options.settings.get();
     const { availabilityZone } = settings;
-    this.store = new routedStores.RoutedConfigurationStore(codec, log);
+    this.store = new routedConfigurationStores.RoutedConfigurationStore(codec, log);
     this.directory = new upstreamDirectories.UpstreamDirectory(
       clock,
       log,
@@ -101,28 +101,28 @@
       (zone) => options.settings.get().regions?.[zone],
     );
     this.client = new requests.UpstreamClient({
-      connectMs: CONNECT_MS,
-      connections: KEPT_CONNECTIONS,
+      connectMs: CONNECT_TIMEOUT_MS,
+      connections: MAX_CONNECTIONS,
     });
     this.drain = new requests.Drain(clock);
-    this.link = this.createLink();
-    const pools = new poolClients.PlacementClient({
+    this.poller = this.createPoller();
+    const placement = new placementClients.PlacementClient({
       mesh: this.mesh,
-      findLeader: () => this.link.findLeader(),
+      findLeader: () => this.poller.findLeader(),
       clock,
       log,
     });
     this.shares = new retryShares.RetryShares(
       clock,
       () => ({ ...options.settings.get().bounds, entryHosts: this.entryHosts }),
-      (service) => pools.requestRetry(service),
+      (service) => placement.requestRetry(service),
       options.metrics,
     );
-    this.suspects = new suspectLinks.SuspectClient({
+    this.suspects = new suspectClients.SuspectClient({
       mesh: this.mesh,
-      findLeader: () => this.link.findLeader(),
+      findLeader: () => this.poller.findLeader(),
       hostId: settings.hostId,
-      relays: this.createRelays(settings.hostId),
+      relays: this.createRelayClient(settings.hostId),
       clock,
       log,
     });
@@ -136,7 +136,7 @@
     });
     this.picker = new upstreamPickers.UpstreamPicker({
       directory: this.directory,
-      placer: pools,
+      placer: placement,
       availabilityZone,
       coldShare: new routing.ColdSendQuota(settings.hostId, () => this.entryHosts),
       clock,
@@ -157,73 +157,77 @@
       log,
       metrics: options.metrics,
     });
-    this.reader = entryListReaders.createEntryListReader({
+    this.listReader = entryListReaders.createEntryListReader({
       source,
       directory: this.directory,
       clock,
       log,
       random,
       getSettings: () => options.settings.get(),
-      reachesLeader: () => this.link.reachesLeader(),
+      reachesLeader: () => this.poller.reachesLeader(),
       countEntryHosts: () => this.entryHosts ?? ASSUMED_ENTRY_HOSTS,
       getPeriodMs: () => this.listPeriodMs,
     });
-    this.callers = new faceServers.HttpListener((req, res) => this.serve(req, res));
-    this.readiness = new faceServers.HttpListener((req, res) => this.showReady(req, res));
-    this.watchLevels();
+    this.callerListener = new httpListeners.HttpListener((req, res) => this.serve(req, res));
+    this.readinessListener = new httpListeners.HttpListener((req, res) =>
+      this.answerReadinessProbe(req, res),
+    );
+    this.registerGauges();
   }
 
-  /** Listens and serves as soon as it knows what is in force; gives the callers' port. */
+  /** Starts listening; calls are served as soon as a configuration is in force. Returns the callerListener' port. */
   public async start(): Promise<number> {
     const settings = this.options.settings.get();
-    void this.link.run();
-    void this.reader.run();
-    await this.readiness.listen(settings.readyAddress ?? `${settings.ipAddress}:0`);
-    const port = await this.callers.listen(settings.callerAddress ?? `${settings.ipAddress}:0`);
+    void this.poller.run();
+    void this.listReader.run();
+    await this.readinessListener.listen(settings.readyAddress ?? `${settings.ipAddress}:0`);
+    const port = await this.callerListener.listen(
+      settings.callerAddress ?? `${settings.ipAddress}:0`,
+    );
     this.options.log.info({ event: 'started', role: 'entry', peer: settings.hostId });
     return port;
   }
 
-  /** Whether the balancer may send callers here. */
+  /** Whether the load balancer may send callerListener to this host. */
   public isReady(): boolean {
     const isStopping = this.drain.isDraining();
     return this.store.findTable() !== undefined && this.directory.hasList() && !isStopping;
   }
 
-  /** A planned stop: readiness fails first, and every call is finished. */
+  /** Stops gracefully: readinessListener fails first, and running calls finish. */
   public stop(): Promise<void> {
     this.stopping ??= this.stopGracefully();
     return this.stopping;
   }
 
-  /** Ends at once, as a killed process does; for failure tests. */
+  /** Stops at once, like a killed process; for failure tests. */
   public kill(): void {
     this.end();
-    this.callers.kill();
-    this.readiness.kill();
+    this.callerListener.kill();
+    this.readinessListener.kill();
   }
 
   private async stopGracefully(): Promise<void> {
     const { log } = this.options;
     log.info({ event: 'stopping', role: 'entry', active: this.drain.getActive() });
     this.drain.begin();
-    this.takesUntil = this.options.clock.now() + BALANCER_LAG_MS;
+    this.acceptsUntil = this.options.clock.now() + BALANCER_LAG_MS;
     await this.drain.waitIdle(BALANCER_LAG_MS);
-    await this.callers.close(CLOSE_MS);
-    this.readiness.kill();
+    await this.callerListener.close(CLOSE_GRACE_MS);
+    this.readinessListener.kill();
     this.end();
     log.info({ event: 'stopped', role: 'entry' });
   }
 
   private end(): void {
-    this.link.stop();
+    this.poller.stop();
     this.suspects.stop();
-    this.reader.stop();
+    this.listReader.stop();
     this.mesh.close();
     void this.client.close();
   }
 
-  private watchLevels(): void {
+  private registerGauges(): void {
     const { metrics } = this.options;
     metrics.watch('activeCalls', () => this.drain.getActive());
     metrics.watch('configurationVersion', () => this.store.getVersion());
@@ -236,17 +240,19 @@
     if (this.drain.isDraining()) {
       res.setHeader('connection', 'close');
     }
-    // A caller on a kept connection does not see the balancer. A draft that it sends late in the stop would be cut
-    // when the stop's time is over; told that it has not run, the caller goes to another host at once.
-    if (this.options.clock.now() > this.takesUntil) {
-      this.refuse(req, res, createStopping());
+    // The load balancer doesn't affect a caller with a kept-alive connection. A long generation that it sends late in
+    // the stop would be cut off when the process ends; refused as not run, the call can go to another host at once.
+    if (this.options.clock.now() > this.acceptsUntil) {
+      this.refuse(req, res, createStoppingRefusal());
       return;
     }
-    const leave = this.drain.enter();
+    const endCall = this.drain.enter();
     void this.flow
       .handle(req, res)
       .catch((err: unknown) => this.refuse(req, res, err))
-      .finally(() => (res.writableFinished || res.destroyed ? leave() : res.once('close', leave)));
+      .finally(() =>
+        res.writableFinished || res.destroyed ? endCall() : res.once('close', endCall),
+      );
   }
 
   private refuse(req: http.IncomingMessage, res: http.ServerResponse, err: unknown): void {
@@ -259,29 +265,29 @@
     requests.sendRefusal(req, res, refusal, mayReadRest);
   }
 
-  private showReady(req: http.IncomingMessage, res: http.ServerResponse): void {
+  private answerReadinessProbe(req: http.IncomingMessage, res: http.ServerResponse): void {
     const isPath = req.url === this.options.readyPath;
     const status = this.isReady() ? 200 : 503;
     requests.sendJson(res, isPath ? status : 404, { version: this.store.getVersion() });
   }
 
-  private createRelays(hostId: string): relayClients.SuspectRelayClient {
+  private createRelayClient(hostId: string): suspectRelayClients.SuspectRelayClient {
     const { clock, log } = this.options;
-    const { link, mesh } = this;
-    return new relayClients.SuspectRelayClient({
+    const { poller, mesh } = this;
+    return new suspectRelayClients.SuspectRelayClient({
       mesh,
       hostId,
-      listCores: () => link.listCores(),
-      reachesLeader: () => link.reachesLeader(),
-      leaderChanged: link.leaderChanged,
+      listCores: () => poller.listCores(),
+      reachesLeader: () => poller.reachesLeader(),
+      leaderChanged: poller.leaderChanged,
       clock,
       log,
     });
   }
 
-  private createLink(): coreLinks.UpdatePoller {
+  private createPoller(): updatePollers.UpdatePoller {
     const { clock, log, random, settings } = this.options;
-    return new coreLinks.UpdatePoller({
+    return new updatePollers.UpdatePoller({
       mesh: this.mesh,
       listSeeds: () => hostSettings.listSeedIds(settings.get()),
       clock,
@@ -297,54 +303,54 @@
         suspects: this.suspects.getReceivedRevision(),
         evacuationRevision: this.evacuations.get().revision,
       }),
-      onUpdates: (news, isTrusted) => this.takeNews(news, isTrusted),
+      onUpdates: (updates, isTrusted) => this.applyUpdates(updates, isTrusted),
     });
   }
 
-  private takeNews(news: procedures.UpdatesRes, isTrusted: boolean): void {
-    if (news.document !== undefined) {
-      this.store.offer(news.document);
+  private applyUpdates(updates: procedures.UpdatesRes, isTrusted: boolean): void {
+    if (updates.document !== undefined) {
+      this.store.offer(updates.document);
     }
-    if (news.evacuations !== undefined) {
-      this.takeEvacuations(news.evacuations);
+    if (updates.evacuations !== undefined) {
+      this.applyEvacuations(updates.evacuations);
     }
     if (isTrusted) {
       this.store.markReady();
     }
-    const list = procedures.findList(news);
-    const changes = procedures.findListChanges(news);
+    const list = procedures.findList(updates);
+    const changes = procedures.findListChanges(updates);
     if (list !== undefined) {
-      this.directory.applyList(list, news.listAgeMs ?? 0);
+      this.directory.applyList(list, updates.listAgeMs ?? 0);
     } else if (changes !== undefined) {
-      this.directory.applyChanges(changes, news.listAgeMs ?? 0);
-    } else if (news.listAgeMs !== undefined) {
-      this.directory.confirmCurrent(news.listAgeMs);
+      this.directory.applyChanges(changes, updates.listAgeMs ?? 0);
+    } else if (updates.listAgeMs !== undefined) {
+      this.directory.confirmCurrent(updates.listAgeMs);
     }
-    this.suspects.applyQuarantined(news.quarantined ?? []);
-    if (news.suspects !== undefined) {
-      this.suspects.applyUpdates(news.suspects);
+    this.suspects.applyQuarantined(updates.quarantined ?? []);
+    if (updates.suspects !== undefined) {
+      this.suspects.applyUpdates(updates.suspects);
     }
-    this.listPeriodMs = news.listPeriodMs ?? this.listPeriodMs;
-    this.entryHosts = news.entryHosts ?? this.entryHosts;
+    this.listPeriodMs = updates.listPeriodMs ?? this.listPeriodMs;
+    this.entryHosts = updates.entryHosts ?? this.entryHosts;
     const limits = this.store.findTable()?.config.limits;
     if (limits !== undefined) {
-      this.callers.setTimeouts(limits.headerTimeoutMs, limits.idleTimeoutMs);
+      this.callerListener.setTimeouts(limits.headerTimeoutMs, limits.idleTimeoutMs);
     }
   }
 
-  private takeEvacuations(facts: intents.EvacuatedZones): void {
+  private applyEvacuations(facts: intents.EvacuatedZones): void {
     if (this.evacuations.restore(facts)) {
       this.options.log.info({ event: 'evacuations-in-force', ...facts });
     }
   }
 }
 
-function createStopping(): schemas.Refusal {
+function createStoppingRefusal(): schemas.Refusal {
   return new schemas.Refusal({
     id: 'draining',
     step: 'admit',
     status: 503,
     outcome: 'not-run',
-    retryAfterS: STOPPING_RETRY_S,
+    retryAfterS: STOPPING_RETRY_AFTER_S,
   });
 }
--- a/packages/gateway/src/host-settings.ts
+++ b/packages/gateway/src/host-settings.ts
@@ -3,54 +3,54 @@
 /** An IP address and a port. */
 export const address = z.string().regex(/^[^:\s]+:\d{1,5}$/, 'an IP address and a port');
 
-/** The promises of the deployment that set this host's own times and limits. */
+/** The deployment's service-level bounds, from which this host derives its own times and limits. */
 export const deploymentBounds = z.object({
-  /** Within which a host that can reach the others must work by its rules again, in milliseconds. */
+  /** Time within which a host that can reach the others again must be up to date, in milliseconds. */
   reachMs: z.number().positive(),
-  /** Within which an operator's order is to be acknowledged, in milliseconds. */
+  /** Time within which an operator's order must be acknowledged, in milliseconds. */
   acknowledgeMs: z.number().positive(),
-  /** How long an upstream that is leaving may still be sent to, in milliseconds. */
+  /** Time for which calls may still be sent to an upstream that is leaving, in milliseconds. */
   leavingMs: z.number().positive(),
-  /** How long a planned stop may take, in milliseconds. */
+  /** Maximum duration of a planned stop, in milliseconds. */
   stopMs: z.number().positive(),
-  /** Retries per request that all hosts together may make. */
+  /** Maximum number of retries per request, for all hosts together. */
   retryRatio: z.number().min(0),
-  /** Retries beyond the ratio that all hosts together may make in one window. */
+  /** Maximum number of retries beyond the ratio in one window, for all hosts together. */
   retrySlack: z.number().min(0),
-  /** The length of that window, in milliseconds. */
+  /** Length of that window, in milliseconds. */
   retryWindowMs: z.number().positive(),
-  /** How many times its declared rate a cold upstream bears, and how many calls in a second beyond that. */
+  /** Multiple of its declared rate that a cold upstream tolerates, and the number of calls in a second beyond that. */
   coldOverage: z.number().min(1).default(1),
   coldSlack: z.number().min(0).default(0),
 });
 
-/** The settings of one host for routed traffic. */
+/** Schema of one host's settings for routed traffic. */
 export const hostSettings = z.object({
   hostId: z.string().min(1),
   availabilityZone: z.string().min(1),
-  /** The region of each availability zone of the deployment; left out where it is not told. */
+  /** Region of each availability zone of the deployment; absent where the settings don't give it. */
   regions: z.record(z.string(), z.string()).optional(),
   ipAddress: z.string().min(1),
-  /** Where callers connect; on entry hosts. */
+  /** Address for callers; on entry hosts. */
   callerAddress: address.optional(),
-  /** Where the balancer asks whether this host is ready; on entry hosts. */
+  /** Address of the load balancer's readiness probe; on entry hosts. */
   readyAddress: address.optional(),
-  /** Where operators connect; on core hosts. */
+  /** Address for operators; on core hosts. */
   operatorAddress: address.optional(),
-  /** Where metrics are fetched; nothing where they are not kept. */
+  /** Address at which metrics are scraped; absent where they are not kept. */
   metricsAddress: address.optional(),
-  /** The port on which core hosts hear entry hosts and each other. */
+  /** Port on which core hosts listen for entry hosts and each other. */
   peerPort: z.int().min(1).max(65_535),
-  /** Operators' addresses of some core hosts. */
+  /** Operator addresses of some core hosts. */
   seeds: z.array(address),
   /** Whether the whole deployment starts for the first time, with empty disks. */
   isFirstStart: z.boolean(),
   dataFolder: z.string().min(1).optional(),
-  /** How many core hosts may be lost at once. */
+  /** Number of core hosts that may be lost at once. */
   lossesToBear: z.int().min(0),
-  /** Where the list of upstreams is read. */
+  /** Address from which the list of upstreams is read. */
   listAddress: address,
-  /** Calls to that list that all hosts together may make, per second. */
+  /** Maximum number of requests to that list per second, for all hosts together. */
   listCallsPerS: z.number().positive(),
   bounds: deploymentBounds,
 });
@@ -58,28 +58,28 @@
 /** The settings of one host for routed traffic. */
 export type HostSettings = z.infer<typeof hostSettings>;
 
-/** Where settings come from; they may change while the host runs. */
+/** Source of settings, which may change while the host runs. */
 export interface SettingsSource {
   read(): HostSettings;
 }
 
-/** The host and the port of an address. */
+/** Splits an address into host and port. */
 export function splitAddress(value: string): { readonly host: string; readonly port: number } {
   const at = value.lastIndexOf(':');
   return { host: value.slice(0, at), port: Number(value.slice(at + 1)) };
 }
 
-/** The name of a core host among its peers, which also says where it listens. */
+/** Returns the name of a core host, which is also the address on which it listens for peers. */
 export function getCoreId(ipAddress: string, peerPort: number): string {
   return `${ipAddress}:${peerPort}`;
 }
 
-/** The availability zones of the deployment, where the settings name them. */
+/** Lists the availability zones of the deployment; `undefined` if the settings don't name them. */
 export function listZones({ regions }: HostSettings): string[] | undefined {
   return regions === undefined ? undefined : Object.keys(regions);
 }
 
-/** The core hosts that the settings name. */
+/** Lists the core hosts that the settings name as seeds. */
 export function listSeedIds(settings: HostSettings): string[] {
   return settings.seeds.map((seed) => getCoreId(splitAddress(seed).host, settings.peerPort));
 }
--- a/packages/gateway/src/http-listener.ts
+++ b/packages/gateway/src/http-listener.ts
@@ -3,16 +3,16 @@
 
 import * as hostSettings from './host-settings.js';
 
-/** How often connections are checked for callers that are too slow, in milliseconds. */
-const CHECK_MS = 500;
+/** Interval at which connections are checked for header timeouts, in milliseconds. */
+const TIMEOUT_CHECK_INTERVAL_MS = 500;
 
-/** The largest head that is read at all, in bytes; the configuration's own limit is below it. */
+/** Maximum size of the headers that the parser accepts, in bytes; the configured limit is below it. */
 const MAX_HEADER_BYTES = 65_536;
 
-/** Answers one request; it never rejects. */
+/** Answers one request; must not throw. */
 export type RequestHandler = (req: http.IncomingMessage, res: http.ServerResponse) => void;
 
-/** An HTTP server on an address of the settings. */
+/** HTTP server that listens on an address from the settings. */
 export class HttpListener {
   private readonly server: http.Server;
 
@@ -21,10 +21,10 @@
       {
         maxHeaderSize: MAX_HEADER_BYTES,
         requestTimeout: 0,
-        connectionsCheckingInterval: CHECK_MS,
+        connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
       },
       (req, res) => {
-        // Without these a client that vanishes in the wrong moment would end the process.
+        // Without these handlers, a connection that fails while it is read or written would end the process.
         req.on('error', () => {});
         res.on('error', () => {});
         handle(req, res);
@@ -32,7 +32,7 @@
     );
   }
 
-  /** Listens and gives the port. */
+  /** Starts listening and returns the port. */
   public async listen(address: string): Promise<number> {
     const { host, port } = hostSettings.splitAddress(address);
     await new Promise<void>((resolve, reject) => {
@@ -42,13 +42,13 @@
     return (this.server.address() as net.AddressInfo).port;
   }
 
-  /** Sets how long clients may take over a head, and how long a connection may stay idle. */
+  /** Sets the timeouts for receiving a request's headers and for idle connections. */
   public setTimeouts(headerTimeoutMs: number, idleTimeoutMs: number): void {
     this.server.headersTimeout = headerTimeoutMs;
     this.server.keepAliveTimeout = idleTimeoutMs;
   }
 
-  /** Stops listening; connections end when they are idle, and the others after `graceMs`. */
+  /** Stops listening and closes idle connections; the others are closed after `graceMs`. */
   public async close(graceMs: number): Promise<void> {
     await new Promise<void>((resolve) => {
       this.server.close(() => resolve());
@@ -57,7 +57,7 @@
     });
   }
 
-  /** Ends at once, as a killed process does; for failure tests. */
+  /** Closes everything at once, like a killed process; for failure tests. */
   public kill(): void {
     this.server.closeAllConnections();
     this.server.close();
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** Routed traffic: the entry host and the core host, with the ports to whoever speaks. */
+/** Routed traffic: the entry host and the core host, and the interfaces to be implemented for a platform. */
 export * from './core-host.js';
 export * from './entry-host.js';
 export * from './evacuation-service.js';
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -4,117 +4,117 @@
 import type * as routing from '@bramleyridge/routing';
 import type * as schemas from '@bramleyridge/schemas';
 
-/** What a caller tells of a generation before it runs. */
+/** What a call's headers say about a generation before it runs. */
 export interface GenerationFacts {
   readonly promptTokens: number;
   readonly maxTokens: number;
-  /** The caller's estimate of the answer's tokens; right at the median, often far off. */
+  /** The caller's estimate of the answer's tokens; correct at the median, often far off. */
   readonly hintTokens: number | undefined;
-  /** The parts of the prompt in order; the last one belongs to the call or its session. */
+  /** The parts of the prompt, in order; the last one belongs to the call or its session. */
   readonly prefixParts: readonly { readonly partId: string; readonly tokens: number }[];
 }
 
-/** What the head of a call says. */
+/** Facts from the headers of a call. */
 export interface CallFacts {
   readonly requestId: string;
-  /** How long the caller waits, in milliseconds. */
+  /** Time for which the caller waits, in milliseconds. */
   readonly callerTimeoutMs: number | undefined;
   readonly key: string | undefined;
   readonly generation: GenerationFacts | undefined;
-  /** The headers that go on to the upstream as they came. */
+  /** Headers that are forwarded to the upstream unchanged. */
   readonly forwardedHeaders: Readonly<Record<string, string | string[]>>;
 }
 
-/** What goes out with one attempt, beside what the caller sent. */
+/** What is sent with one attempt in addition to the caller's request. */
 export interface AttemptFacts {
   readonly upstreamId: string;
   readonly team: string | undefined;
-  /** How much time is left, in milliseconds. */
+  /** Time until the call's deadline, in milliseconds. */
   readonly remainingMs: number;
-  /** The rank among generations that wait at an engine; 0 goes first. */
+  /** Priority among the generations that wait at an engine; 0 is served first. */
   readonly priority: number | undefined;
-  /** The address of the engine that is to keep a copy of the generation while it runs. */
+  /** Address of the backup engine, which keeps a continuous KV-cache backup of the generation. */
   readonly backupAddress: string | undefined;
-  /** Where a generation that broke off goes on. */
+  /** Set if the attempt resumes a generation that broke off. */
   readonly resume: ResumeFacts | undefined;
 }
 
-/** Where a generation that broke off goes on: behind the last event that the caller has. */
+/** Point at which a generation that broke off is resumed: after the last event that the caller has. */
 export interface ResumeFacts {
-  /** The memory from which it goes on; without one the prompt is read anew, where the route allows another run. */
+  /** KV cache to resume from; without one the prompt is prefilled again, if the route allows another run. */
   readonly copy: KvCacheReference | undefined;
   readonly lastEventId: string | undefined;
 }
 
-/** What a copy is known by: it is kept along with the run, or was made on order by the engine that ran it. */
+/** Identifies a KV-cache copy: a continuous backup, or a copy made on request by the engine that ran the generation. */
 export type KvCacheReference =
   | { readonly kind: 'kept'; readonly backupAddress: string }
   | { readonly kind: 'ordered'; readonly sourceAddress: string; readonly handle: string };
 
-/** An order to copy a run; engines are named by their addresses. */
+/** Order to copy a generation's KV cache; engines are named by their addresses. */
 export interface KvCacheCopyOrder {
   readonly sourceAddress: string;
   readonly requestId: string;
   readonly targetAddress: string;
-  /** Whether the run stops first, so that nothing is lacking; it goes on from the copy. */
+  /** Whether the generation is stopped first, so that the copy is complete; it is then resumed from the copy. */
   readonly isLast: boolean;
 }
 
-/** What became of an order to copy a run. */
+/** Result of an order to copy a KV cache. */
 export type KvCacheCopyResult =
   | { readonly kind: 'made'; readonly handle: string }
-  /** The other engine has no room, or cannot be reached from there; a run that was stopped is kept under a handle. */
+  /** The target engine has no capacity or is unreachable; the source keeps a stopped generation under a handle. */
   | { readonly kind: 'no-room'; readonly handle?: string | undefined }
-  /** The engine does not run it, or not yet: its prompt waits to be read. */
+  /** The source engine does not run the generation, or not yet: its prompt waits for the prefill. */
   | { readonly kind: 'no-run' };
 
-/** Orders to engines about generations that run there; addresses say which engine. */
+/** Controls generations on engines, which are named by their addresses. */
 export interface EngineControl {
-  /** Has an engine copy a run's memory to another; gives what the copy is known by. */
+  /** Orders an engine to copy a generation's KV cache to another engine. */
   copyKvCache(order: KvCacheCopyOrder, signal: AbortSignal): Promise<KvCacheCopyResult>;
-  /** Has an engine let go of a copy that was made on order and is not needed, at both ends. */
+  /** Orders an engine to release a copy made on request, at both engines. */
   dropKvCache(runner: string, handle: string, signal: AbortSignal): Promise<void>;
 }
 
-/** What an upstream tells in passing with an answer. */
+/** What an upstream reports about itself along with an answer. */
 export interface AnswerFacts {
   readonly load: routing.ReportedLoad | undefined;
 }
 
-/** How callers and upstreams of one side speak. */
+/** The platform's protocol for calls: headers of callers and upstreams. */
 export interface CallWire {
-  /** The identifier that a call brings, for logs of calls that are refused. */
+  /** Returns the call's request ID, for the log of a refused call. */
   findRequestId(headers: http.IncomingHttpHeaders): string | undefined;
-  /** Decodes a call's head; throws a refusal when it is no call. */
+  /** Decodes a call's headers; throws a refusal if they are invalid. */
   readCall(headers: http.IncomingHttpHeaders): CallFacts;
   createHeaders(call: CallFacts, attempt: AttemptFacts): Record<string, string | string[]>;
   judge(call: CallFacts): requests.ClassifyHead;
   readAnswer(head: requests.AnswerHead): AnswerFacts;
 }
 
-/** Decodes documents of operators. */
+/** Decodes operators' documents. */
 export interface DocumentCodec {
-  /** The configuration that a document declares; throws an error that lists what is wrong with it. */
+  /** Returns the configuration that a document declares; throws an error that lists its faults. */
   decode(text: string): schemas.RoutedConfig;
 }
 
-/** Asks upstreams about themselves. */
+/** Probes the state of upstreams. */
 export interface UpstreamProbe {
-  /** Whether an upstream says that it takes no more work. */
+  /** Whether an upstream reports that it accepts no more work. */
   isLeaving(address: string, healthPath: string, signal: AbortSignal): Promise<boolean>;
 }
 
-/** Follows a reading of the list that is under way. */
+/** Observes a read of the list that is in progress. */
 export interface ListReadMonitor {
-  /** Notes that the platform has answered with a page. */
+  /** Records that the platform has answered a request for a page. */
   recordPage(): void;
-  /** Waits until a page that was refused for too many calls may be asked for again; whether it may. */
+  /** Waits after a page was refused because of the rate limit; returns whether it may be requested again. */
   awaitRetryAllowed(): Promise<boolean>;
 }
 
-/** Where the list of upstreams is read. */
+/** Source of the list of upstreams. */
 export interface UpstreamSource {
-  /** The whole list, all of its pages. */
+  /** Reads all pages of the list. */
   list(
     listAddress: string,
     signal: AbortSignal,
@@ -122,11 +122,11 @@
   ): Promise<ListReadResult>;
 }
 
-/** One reading of the list of upstreams. */
+/** Result of one read of the list of upstreams. */
 export interface ListReadResult {
   readonly upstreams: schemas.ListedUpstream[];
-  /** How many calls it took. */
+  /** Number of requests that the read took. */
   readonly calls: number;
-  /** How many entries could not be read; they name no upstream. */
+  /** Number of entries that could not be decoded; they yield no upstream. */
   readonly unreadable: number;
 }
--- a/packages/gateway/src/routed-answer.ts
+++ b/packages/gateway/src/routed-answer.ts
@@ -2,41 +2,45 @@
 
 import * as requests from '@bramleyridge/requests';
 
-/** An answer that was read whole, or one whose body is still coming. */
+/** Answer of an upstream: buffered, or streamed while its body arrives. */
 export type RoutedAnswer = BufferedAnswer | StreamedAnswer;
 
-/** An answer that was read whole. */
+/** Answer whose body was read completely. */
 export interface BufferedAnswer {
   readonly kind: 'whole';
   readonly head: requests.AnswerHead;
   readonly bytes: Buffer;
 }
 
-/** An answer whose body is still coming. */
+/** Answer whose body is still arriving. */
 export interface StreamedAnswer {
   readonly kind: 'coming';
   readonly answer: requests.UpstreamAnswer;
   readonly upstreamId: string;
-  /** What was read of the body already. */
+  /** Bytes of the body read so far. */
   readonly bytes: Buffer;
-  /** To be called when the body has ended, with whether the upstream broke off. */
+  /** Must be called when the body has ended, with whether the upstream broke off. */
   readonly release: (hasFailed: boolean) => void;
-  /** Whether there is a copy from which it could go on. */
+  /** Whether there is a KV-cache copy from which the generation could be resumed. */
   readonly canResume: () => boolean;
-  /** Goes on behind an event where the upstream broke off; nothing when that can't be done. */
+  /** Resumes after an event where the upstream broke off; `undefined` if that is not possible. */
   readonly resume: (lastEventId: string | undefined) => Promise<StreamedAnswer | undefined>;
 }
 
 /**
- * How long a stream that could go on elsewhere may be silent, in milliseconds. Its engine may be behind a partition
- * or dead without a word; callers give up after 7 s. A stream that is only preempted is back in less.
+ * Time for which a stream that can be resumed elsewhere may be silent, in milliseconds. Its engine may be behind a
+ * partition or have failed without closing the connection, and callers give up after 7 s. A stream that was only
+ * preempted continues sooner.
  */
-const SILENCE_MS = 1_500;
+const SILENCE_TIMEOUT_MS = 1_500;
 
-/** Statuses whose answers have no body, and no length either. */
-const BODILESS = new Set([204, 304]);
+/** Statuses whose answers have neither a body nor a content length. */
+const BODILESS_STATUSES = new Set([204, 304]);
 
-/** Hands an answer to the caller, noting each time when events are passed on; resolves when all of it is handed over, rejects when the upstream broke off. */
+/**
+ * Sends an answer to the caller and calls `noteEvents` each time that events are sent. Resolves when the answer is
+ * complete, rejects when the upstream broke off.
+ */
 export async function deliverAnswer(
   res: http.ServerResponse,
   routed: RoutedAnswer,
@@ -45,7 +49,7 @@
 ): Promise<void> {
   if (routed.kind === 'whole') {
     const { head, bytes } = routed;
-    const length = BODILESS.has(head.status) ? {} : { 'content-length': bytes.length };
+    const length = BODILESS_STATUSES.has(head.status) ? {} : { 'content-length': bytes.length };
     res.writeHead(head.status, { ...requests.pickEndToEndHeaders(head.headers), ...length });
     res.end(bytes);
     return;
@@ -60,28 +64,28 @@
     await (isStream ? relayEvents(res, routed, noteEvents) : relayBytes(res, routed));
     res.end();
   } catch (err) {
-    // An answer that ends early must not look complete, so the connection ends without its last chunk.
+    // A truncated answer must not look complete, so the connection is closed without the final chunk.
     res.destroy();
     throw err;
   }
 }
 
-async function relayBytes(res: http.ServerResponse, coming: StreamedAnswer): Promise<void> {
-  await write(res, coming.bytes);
-  await relayLeg(coming, false, (bytes) => write(res, bytes));
+async function relayBytes(res: http.ServerResponse, streamed: StreamedAnswer): Promise<void> {
+  await write(res, streamed.bytes);
+  await relayBody(streamed, false, (bytes) => write(res, bytes));
 }
 
-/** Passes whole events on; where one upstream breaks off, another goes on behind the last event. */
+/** Relays complete events; where one upstream breaks off, another one resumes after the last event. */
 async function relayEvents(
   res: http.ServerResponse,
   first: StreamedAnswer,
   noteEvents: () => void,
 ): Promise<void> {
   const cutter = new requests.SseEventSplitter();
-  let coming = first;
+  let streamed = first;
   for (;;) {
     try {
-      await relayLeg(coming, true, (bytes) => {
+      await relayBody(streamed, true, (bytes) => {
         const events = cutter.push(bytes);
         if (events.length > 0) {
           noteEvents();
@@ -90,29 +94,31 @@
       });
       return;
     } catch (err) {
-      const next = res.destroyed ? undefined : await coming.resume(cutter.getLastId());
-      if (next === undefined) {
+      const resumed = res.destroyed ? undefined : await streamed.resume(cutter.getLastId());
+      if (resumed === undefined) {
         throw err;
       }
       cutter.restart();
-      coming = next;
+      streamed = resumed;
     }
   }
 }
 
-async function relayLeg(
-  coming: StreamedAnswer,
+async function relayBody(
+  streamed: StreamedAnswer,
   isStream: boolean,
-  pass: (bytes: Buffer) => Promise<void>,
+  send: (bytes: Buffer) => Promise<void>,
 ): Promise<void> {
-  const { answer, release, upstreamId } = coming;
+  const { answer, release, upstreamId } = streamed;
   let hasFailed = true;
   let timer: NodeJS.Timeout | undefined;
   try {
     for await (const part of requests.relayAnswer(answer, isStream, upstreamId)) {
       clearTimeout(timer);
-      await pass(part);
-      timer = isStream ? setTimeout(() => endSilent(coming), SILENCE_MS) : undefined;
+      await send(part);
+      timer = isStream
+        ? setTimeout(() => endSilentStream(streamed), SILENCE_TIMEOUT_MS)
+        : undefined;
     }
     hasFailed = false;
   } finally {
@@ -122,14 +128,14 @@
   }
 }
 
-/** Ends a stream that has fallen silent, if it can go on elsewhere; otherwise its engine may yet speak. */
-function endSilent({ answer, canResume }: StreamedAnswer): void {
+/** Ends a silent stream if it can be resumed elsewhere; otherwise its engine may still send more events. */
+function endSilentStream({ answer, canResume }: StreamedAnswer): void {
   if (canResume()) {
-    answer.body.destroy(new Error('the stream fell silent'));
+    answer.body.destroy(new Error('no events within the silence timeout'));
   }
 }
 
-/** Writes, and waits while the caller is slow to read; a caller that left ends the wait. */
+/** Writes, and waits for the caller to drain its buffer; a closed connection ends the wait. */
 async function write(res: http.ServerResponse, bytes: Buffer): Promise<void> {
   if (bytes.length === 0 || res.destroyed || res.write(bytes)) {
     return;
--- a/packages/gateway/src/routed-attempts.ts
+++ b/packages/gateway/src/routed-attempts.ts
@@ -3,32 +3,32 @@
 import type * as telemetry from '@bramleyridge/telemetry';
 
 import type * as callAdmissions from './call-admission.js';
-import * as copyKeepers from './migration-manager.js';
+import * as migrationManagers from './migration-manager.js';
 import type * as crashGuards from './crash-guard.js';
 import * as generationCalls from './generation-calls.js';
 import type * as ports from './ports.js';
-import * as rebornWatches from './abort-on-engine-restart.js';
+import * as engineRestarts from './abort-on-engine-restart.js';
 import type * as routedAnswers from './routed-answer.js';
 import type * as routedJobs from './routed-job.js';
 import type * as upstreamPickers from './upstream-picker.js';
 
 /**
- * The longest answer that is read whole before the caller gets any of it, in bytes; it can still be replaced
- * when the upstream breaks off. Longer ones are passed on as they come, so that they don't pile up in memory.
+ * Maximum size of an answer that is buffered before any of it is sent to the caller, in bytes: it can still be replaced
+ * if the upstream breaks off. Longer answers are streamed, so that they don't accumulate in memory.
  */
-const READ_WHOLE_BYTES = 64 * 1024;
+const MAX_BUFFERED_BYTES = 64 * 1024;
 
-/** How often one generation goes on at another engine at most; engines are reclaimed one after the other. */
+/** Maximum number of times that one generation is resumed; engines are reclaimed one after the other. */
 const MAX_RESUMES = 6;
 
-/** The first status that is no success. */
-const FIRST_NO_SUCCESS = 300;
+/** Lowest status that is not a success. */
+const FIRST_NON_SUCCESS_STATUS = 300;
 
-/** The status by which an upstream says that it failed. */
+/** Lowest status that reports a failure of the upstream. */
 export const FIRST_FAILURE_STATUS = 500;
 
-/** What attempts need. */
-export interface RoutedAttemptsOptions extends copyKeepers.MigrationManagerOptions {
+/** Options of `RoutedAttempts`. */
+export interface RoutedAttemptsOptions extends migrationManagers.MigrationManagerOptions {
   readonly wire: ports.CallWire;
   readonly client: requests.UpstreamClient;
   readonly guard: crashGuards.CrashGuard;
@@ -36,43 +36,41 @@
   readonly metrics: telemetry.MetricSink;
 }
 
-/** One run of a call at one upstream, with what it holds there and at the engine that keeps its copy. */
-interface Leg {
+/** One run of a call at one upstream, with the load accounted for it there and at its backup engine. */
+interface Attempt {
   readonly picked: upstreamPickers.PickedUpstream;
-  readonly run: copyKeepers.MigratableRun;
-  /** Takes it off every account; only the first call counts. */
+  readonly run: migrationManagers.MigratableRun;
+  /** Releases the run's accounted load; only the first call has an effect. */
   readonly release: (hasFailed: boolean) => void;
-  /** When its answer began. */
-  begunAt: number | undefined;
+  /** Time at which its answer began. */
+  answerStartedAt: number | undefined;
 }
 
-type Coming = routedAnswers.StreamedAnswer;
-
-/** The attempts of routed calls: each sends a call once, and goes on elsewhere when its engine breaks off. */
+/** Runs the attempts of routed calls: each sends a call once, and resumes it elsewhere if its engine breaks off. */
 export class RoutedAttempts {
-  private readonly keeper: copyKeepers.MigrationManager;
+  private readonly migrations: migrationManagers.MigrationManager;
 
   public constructor(private readonly options: RoutedAttemptsOptions) {
-    this.keeper = new copyKeepers.MigrationManager(options);
+    this.migrations = new migrationManagers.MigrationManager(options);
   }
 
-  /** One attempt at an upstream. */
+  /** Makes one attempt at an upstream. */
   public async attempt(
     job: routedJobs.RoutedJob,
     picked: upstreamPickers.PickedUpstream,
   ): Promise<routedAnswers.RoutedAnswer> {
-    const leg = this.begin(job, picked);
-    this.noteChoice(job, leg);
+    const attempt = this.begin(job, picked);
+    this.logChoice(job, attempt);
     try {
-      return await this.receive(job, leg, await this.send(job, leg, undefined));
+      return await this.receive(job, attempt, await this.send(job, attempt, undefined));
     } catch (err) {
-      leg.release(true);
-      this.noteEnd(job, leg, err);
-      return this.recover(job, leg, err);
+      attempt.release(true);
+      this.recordEnd(job, attempt, err);
+      return this.recover(job, attempt, err);
     }
   }
 
-  /** Notes what a failure shows of its upstream. */
+  /** Records what a failure shows about its upstream. */
   public noteFailure(
     job: routedJobs.RoutedJob,
     { known, upstreamId }: upstreamPickers.PickedUpstream,
@@ -95,7 +93,7 @@
     });
   }
 
-  private begin(job: routedJobs.RoutedJob, picked: upstreamPickers.PickedUpstream): Leg {
+  private begin(job: routedJobs.RoutedJob, picked: upstreamPickers.PickedUpstream): Attempt {
     const { picker } = this.options;
     const { call, tried } = job;
     tried.add(picked.upstreamId);
@@ -110,34 +108,34 @@
         picker.release(call, hasFailed);
       }
     };
-    return { picked, run, release, begunAt: undefined };
+    return { picked, run, release, answerStartedAt: undefined };
   }
 
   private send(
     job: routedJobs.RoutedJob,
-    leg: Leg,
+    attempt: Attempt,
     resume: ports.ResumeFacts | undefined,
   ): Promise<requests.UpstreamAnswer> {
     const { client, clock, directory, wire } = this.options;
     const { call, body, abort } = job;
-    if (!directory.isPlacementAllowed(leg.picked.known, call.regions)) {
+    if (!directory.isPlacementAllowed(attempt.picked.known, call.regions)) {
       return Promise.reject(
-        new requests.UpstreamError('unreachable', 'send', leg.picked.upstreamId),
+        new requests.UpstreamError('unreachable', 'send', attempt.picked.upstreamId),
       );
     }
     const headers = wire.createHeaders(call.facts, {
-      upstreamId: leg.picked.upstreamId,
+      upstreamId: attempt.picked.upstreamId,
       team: call.team?.name,
       remainingMs: call.endsAt - clock.now(),
-      priority: generationCalls.getEnginePriority(call, leg.picked.isFallback),
-      backupAddress: leg.picked.backupEngine?.listed.address,
+      priority: generationCalls.getEnginePriority(call, attempt.picked.isFallback),
+      backupAddress: attempt.picked.backupEngine?.listed.address,
       resume,
     });
-    // A stream goes out on a connection of its own: on a kept one that is silently dead nothing would show it.
+    // A stream gets a connection of its own: a kept-alive connection may be dead, and a silent stream would not show it.
     const isRepeatable = isIdempotent(call) && !call.route.isStream;
     const { method, path } = call;
     return client.open(
-      leg.picked.known,
+      attempt.picked.known,
       { method, path, headers, body, isRepeatable, signal: abort.signal },
       wire.judge(call.facts),
     );
@@ -145,11 +143,11 @@
 
   private async receive(
     job: routedJobs.RoutedJob,
-    leg: Leg,
+    attempt: Attempt,
     answer: requests.UpstreamAnswer,
   ): Promise<routedAnswers.RoutedAnswer> {
     const { clock, metrics, wire } = this.options;
-    const { known, upstreamId } = leg.picked;
+    const { known, upstreamId } = attempt.picked;
     const { load } = wire.readAnswer(answer);
     if (load !== undefined) {
       known.load.applyReport(load, clock.now());
@@ -162,76 +160,76 @@
     if (isFailure) {
       known.load.recordFailure(clock.now());
     }
-    if (job.call.route.isStream && answer.status < FIRST_NO_SUCCESS) {
-      return this.createComing(job, leg, answer, Buffer.alloc(0));
+    if (job.call.route.isStream && answer.status < FIRST_NON_SUCCESS_STATUS) {
+      return this.createStreamed(job, attempt, answer, Buffer.alloc(0));
     }
-    const read = await requests.readAnswer(answer, READ_WHOLE_BYTES, upstreamId);
+    const read = await requests.readAnswer(answer, MAX_BUFFERED_BYTES, upstreamId);
     if (!read.isWhole) {
-      return this.createComing(job, leg, answer, read.bytes);
+      return this.createStreamed(job, attempt, answer, read.bytes);
     }
-    leg.release(false);
-    const isServed = answer.status < FIRST_NO_SUCCESS;
-    this.options.guard.recordOutcome(job, createGuarded(leg), isServed ? 'served' : 'over');
+    attempt.release(false);
+    const isServed = answer.status < FIRST_NON_SUCCESS_STATUS;
+    this.options.guard.recordOutcome(job, createGuardedRun(attempt), isServed ? 'served' : 'over');
     return { kind: 'whole', head: answer, bytes: read.bytes };
   }
 
-  private createComing(
+  private createStreamed(
     job: routedJobs.RoutedJob,
-    leg: Leg,
+    attempt: Attempt,
     answer: requests.UpstreamAnswer,
     bytes: Buffer,
-  ): Coming {
-    leg.begunAt = this.options.clock.now();
+  ): routedAnswers.StreamedAnswer {
+    attempt.answerStartedAt = this.options.clock.now();
     if (generationCalls.wantsBackup(job.call)) {
-      void this.keeper.run(job, leg.run);
+      void this.migrations.run(job, attempt.run);
     }
-    void rebornWatches.abortOnEngineRestart(this.options, leg.run, answer);
+    void engineRestarts.abortOnEngineRestart(this.options, attempt.run, answer);
     return {
       kind: 'coming',
       answer,
-      upstreamId: leg.picked.upstreamId,
+      upstreamId: attempt.picked.upstreamId,
       bytes,
-      release: (hasFailed) => this.endComing(job, leg, hasFailed),
-      canResume: () => leg.run.backup !== undefined,
-      resume: (lastEventId) => this.resume(job, leg, lastEventId),
+      release: (hasFailed) => this.endStreamed(job, attempt, hasFailed),
+      canResume: () => attempt.run.backup !== undefined,
+      resume: (lastEventId) => this.resume(job, attempt, lastEventId),
     };
   }
 
-  /** A generation that was lost before its first event may have a copy all the same. */
+  /** Resumes a generation that was lost before its first event, if it has a KV-cache copy; otherwise rethrows. */
   private async recover(
     job: routedJobs.RoutedJob,
-    leg: Leg,
+    attempt: Attempt,
     err: unknown,
   ): Promise<routedAnswers.RoutedAnswer> {
-    const { upstreamId } = leg.picked;
+    const { upstreamId } = attempt.picked;
     const failure = requests.createUpstreamError(err, 'attempt', upstreamId);
-    const mayResume = failure.kind === 'lost' && leg.run.backup !== undefined;
-    const resumed = mayResume ? await this.resume(job, leg, undefined) : undefined;
+    const mayResume = failure.kind === 'lost' && attempt.run.backup !== undefined;
+    const resumed = mayResume ? await this.resume(job, attempt, undefined) : undefined;
     if (resumed === undefined) {
       throw err;
     }
     return resumed;
   }
 
-  /** Goes on elsewhere; an engine that holds no copy refuses, and nothing has run there. */
+  /** Resumes a generation elsewhere. An engine that does not hold the copy refuses, and nothing has run there. */
   private async resume(
     job: routedJobs.RoutedJob,
-    former: Leg,
+    previous: Attempt,
     lastEventId: string | undefined,
-  ): Promise<Coming | undefined> {
+  ): Promise<routedAnswers.StreamedAnswer | undefined> {
     const { log, metrics } = this.options;
-    await former.run.finalBackup;
-    const next = await this.findNext(job, former);
-    if (next === undefined || !(await this.mayGoOn(job, next))) {
+    await previous.run.finalBackup;
+    const next = await this.chooseNext(job, previous);
+    if (next === undefined || !(await this.mayResume(job, next))) {
       return undefined;
     }
     job.resumes += 1;
-    const leg = this.begin(job, next);
+    const attempt = this.begin(job, next);
     const { upstreamId } = next;
     const details = {
       request: job.call.facts.requestId,
       upstream: upstreamId,
-      former: former.picked.upstreamId,
+      former: previous.picked.upstreamId,
     };
     log.info({
       decision: 'resume',
@@ -240,41 +238,41 @@
       copyAt: next.backupEngine?.upstreamId,
     });
     try {
-      const resume = { copy: former.run.backup?.reference, lastEventId };
-      const answer = await this.send(job, leg, resume);
-      if (answer.status >= FIRST_NO_SUCCESS) {
+      const resume = { copy: previous.run.backup?.reference, lastEventId };
+      const answer = await this.send(job, attempt, resume);
+      if (answer.status >= FIRST_NON_SUCCESS_STATUS) {
         answer.body.destroy();
         throw new requests.UpstreamError('lost', 'resume', upstreamId);
       }
       metrics.count('resumes', { result: 'resumed' });
-      return this.createComing(job, leg, answer, Buffer.alloc(0));
+      return this.createStreamed(job, attempt, answer, Buffer.alloc(0));
     } catch (err) {
-      leg.release(true);
-      this.noteEnd(job, leg, err);
+      attempt.release(true);
+      this.recordEnd(job, attempt, err);
       metrics.count('resumes', { result: 'failed' });
       log.info({ decision: 'resume-failed', ...details, err: schemas.toError(err).message });
       return undefined;
     }
   }
 
-  /** Notes what an attempt that failed shows of its call. */
-  private noteEnd(job: routedJobs.RoutedJob, leg: Leg, err: unknown): void {
-    const { kind } = requests.createUpstreamError(err, 'attempt', leg.picked.upstreamId);
+  /** Reports to the crash guard how a failed attempt ended. */
+  private recordEnd(job: routedJobs.RoutedJob, attempt: Attempt, err: unknown): void {
+    const { kind } = requests.createUpstreamError(err, 'attempt', attempt.picked.upstreamId);
     const failed = job.abort.signal.aborted ? 'over' : 'lost';
     const end = kind === 'lost' ? failed : 'not-run';
-    this.options.guard.recordOutcome(job, createGuarded(leg), end);
+    this.options.guard.recordOutcome(job, createGuardedRun(attempt), end);
   }
 
-  /** Ends a run whose answer was coming; one that was stopped to be handed over, or whose caller left, shows nothing. */
-  private endComing(job: routedJobs.RoutedJob, leg: Leg, hasFailed: boolean): void {
-    leg.release(hasFailed);
-    const isOurs = leg.run.finalBackup !== undefined || job.abort.signal.aborted;
-    const failed = isOurs ? 'over' : 'lost';
-    this.options.guard.recordOutcome(job, createGuarded(leg), hasFailed ? failed : 'served');
+  /** Ends a run whose answer was streamed. A run stopped for a migration or by its caller's leaving shows nothing about the call. */
+  private endStreamed(job: routedJobs.RoutedJob, attempt: Attempt, hasFailed: boolean): void {
+    attempt.release(hasFailed);
+    const isStoppedHere = attempt.run.finalBackup !== undefined || job.abort.signal.aborted;
+    const failed = isStoppedHere ? 'over' : 'lost';
+    this.options.guard.recordOutcome(job, createGuardedRun(attempt), hasFailed ? failed : 'served');
   }
 
-  /** Whether a run that broke off may go on at an upstream: one that ends its upstreams would end the next one. */
-  private async mayGoOn(
+  /** Whether the crash guard lets a run resume at an upstream: a call that crashed one process would crash the next. */
+  private async mayResume(
     job: routedJobs.RoutedJob,
     next: upstreamPickers.PickedUpstream,
   ): Promise<boolean> {
@@ -292,20 +290,20 @@
     }
   }
 
-  /** Where a run that broke off goes on: at its copy, or anew where the route allows another run. */
-  private async findNext(
+  /** Chooses where to resume: at the engine with the copy, or at any engine if the route allows another run. */
+  private async chooseNext(
     job: routedJobs.RoutedJob,
-    { run }: Leg,
+    { run }: Attempt,
   ): Promise<upstreamPickers.PickedUpstream | undefined> {
     const { directory, findBudget, log, metrics, picker } = this.options;
     const { abort, call } = job;
     const mayRunAgain = isIdempotent(call) && job.tried.size < call.route.maxRuns;
-    const copy =
+    const backup =
       run.backup !== undefined && directory.isPlacementAllowed(run.backup.at)
         ? run.backup
         : undefined;
-    const canGoOn = copy !== undefined || mayRunAgain;
-    if (!canGoOn || job.resumes >= MAX_RESUMES || abort.signal.aborted) {
+    const canResumeAtAll = backup !== undefined || mayRunAgain;
+    if (!canResumeAtAll || job.resumes >= MAX_RESUMES || abort.signal.aborted) {
       return undefined;
     }
     if (!run.hasRetryGranted && !(await findBudget(call.service.name).take())) {
@@ -314,10 +312,10 @@
       log.warn({ decision: 'resume-refused', request: requestId, reason: 'retry-budget' });
       return undefined;
     }
-    return copy === undefined ? picker.pick(call, job.tried) : picker.pickAt(call, copy.at);
+    return backup === undefined ? picker.pick(call, job.tried) : picker.pickAt(call, backup.at);
   }
 
-  private noteChoice(job: routedJobs.RoutedJob, { picked }: Leg): void {
+  private logChoice(job: routedJobs.RoutedJob, { picked }: Attempt): void {
     const { availabilityZone, clock, directory, log } = this.options;
     const { call } = job;
     log.info({
@@ -340,16 +338,16 @@
 }
 
 function createRun({
-  backupEngine: copyAt,
+  backupEngine,
   known,
-}: upstreamPickers.PickedUpstream): copyKeepers.MigratableRun {
-  const copy = copyAt && {
-    at: copyAt,
-    reference: { kind: 'kept', backupAddress: copyAt.listed.address } as const,
+}: upstreamPickers.PickedUpstream): migrationManagers.MigratableRun {
+  const backup = backupEngine && {
+    at: backupEngine,
+    reference: { kind: 'kept', backupAddress: backupEngine.listed.address } as const,
   };
   return {
     engine: known,
-    backup: copy,
+    backup,
     isOpen: true,
     hasFailed: false,
     hasRetryGranted: false,
@@ -357,8 +355,8 @@
   };
 }
 
-function createGuarded({ begunAt, picked }: Leg): crashGuards.GuardedRun {
-  return { known: picked.known, answerStartedAt: begunAt };
+function createGuardedRun({ answerStartedAt, picked }: Attempt): crashGuards.GuardedRun {
+  return { known: picked.known, answerStartedAt };
 }
 
 function isIdempotent({ route }: callAdmissions.AdmittedCall): boolean {
--- a/packages/gateway/src/routed-configuration-store.ts
+++ b/packages/gateway/src/routed-configuration-store.ts
@@ -4,7 +4,7 @@
 
 import type * as ports from './ports.js';
 
-/** The routed configuration that this host has in force; within one process it only moves to higher versions. */
+/** The routed configuration in force on this host; its version only increases while the process runs. */
 export class RoutedConfigurationStore {
   private table: routing.RouteTable | undefined;
   private ready = false;
@@ -14,25 +14,26 @@
     private readonly log: schemas.Log,
   ) {}
 
-  /** The routes in force, or nothing before the first. */
+  /** Returns the routes in force; `undefined` before there are any. */
   public findTable(): routing.RouteTable | undefined {
     return this.ready ? this.table : undefined;
   }
 
-  /** The version in force; -1 before the first. */
+  /** Returns the version in force; -1 before the first. */
   public getVersion(): number {
     return this.table?.config.version ?? -1;
   }
 
   /**
-   * Lets this host serve by what it has. A host without a disk has forgotten what was in force; a core host that
-   * was cut off may offer something older, so the word of one that hears the leader is waited for.
+   * Allows this host to serve with the configuration that it has. After a restart, a host without a disk has no record of
+   * the version in force, and a partitioned core host may offer an older one, so the host first waits for a core host that
+   * has contact to the leader.
    */
   public markReady(): void {
     this.ready = true;
   }
 
-  /** Takes a document when its version is higher. */
+  /** Puts a document into force if its version is higher. */
   public offer(document: intents.DeclaredDocument): void {
     const former = this.getVersion();
     if (document.version <= former) {
@@ -47,7 +48,7 @@
         routes: this.table.config.routes.length,
       });
     } catch (err) {
-      // It was checked before it was accepted, so this is a fault of this program; what is in force stays.
+      // Documents are validated before they are accepted, so this is a bug; the former version stays in force.
       const { message } = schemas.toError(err);
       this.log.error({
         event: 'configuration-unreadable',
--- a/packages/gateway/src/routed-flow.ts
+++ b/packages/gateway/src/routed-flow.ts
@@ -10,21 +10,22 @@
 import * as streamTimes from './stream-times.js';
 import type * as upstreamPickers from './upstream-picker.js';
 
-/** What a caller whose time ran out before its call was sent is told to wait, in seconds. */
+/** `Retry-After` of a call whose time ran out before it was sent, in seconds. */
 const RETRY_AFTER_S = 1;
 
 /**
- * How often a suspect is moved on from where another one runs. After an upstream's end there may be as many suspects as
- * upstreams; one that found no place apart would be refused for want of room.
+ * Maximum number of times that a suspect is moved to another upstream because a suspect runs at the chosen one. After an
+ * upstream has crashed there may be as many suspects as upstreams; without a limit, a suspect that finds none to itself
+ * would be refused for lack of capacity.
  */
-const MAX_MOVES = 2;
+const MAX_SUSPECT_MOVES = 2;
 
-/** What the flow needs. */
+/** Options of `RoutedFlow`. */
 export interface RoutedFlowOptions extends routedAttempts.RoutedAttemptsOptions {
   readonly admission: callAdmissions.CallAdmission;
 }
 
-/** What is known of how a call ended. */
+/** Details of a call's outcome, for the log. */
 interface OutcomeDetails {
   readonly reason?: schemas.MessageId;
   readonly status?: number;
@@ -32,12 +33,12 @@
   readonly err?: string;
 }
 
-/** The reason for which an attempt ends when its caller has left. */
+/** Abort reason of a call whose caller has disconnected. */
 class CallerGone extends Error {
   public override readonly name = 'CallerGone';
 }
 
-/** The flow of a routed call: admit, choose, send, judge, deliver. */
+/** Processes routed calls: admits a call, chooses an upstream, sends the call and delivers the answer. */
 export class RoutedFlow {
   private readonly attempts: routedAttempts.RoutedAttempts;
 
@@ -62,10 +63,10 @@
     };
     findBudget(call.service.name).noteRequest();
     const timer = setTimeout(
-      () => abort.abort(createTimeOver(job.upstreamId !== undefined)),
+      () => abort.abort(createTimeoutRefusal(job.upstreamId !== undefined)),
       Math.max(0, call.endsAt - clock.now()),
     );
-    const onClose = () => abort.abort(new CallerGone('the caller has left'));
+    const onClose = () => abort.abort(new CallerGone('the caller has disconnected'));
     res.once('close', onClose);
     if (res.destroyed) {
       onClose();
@@ -104,23 +105,23 @@
   private async serve(job: routedJobs.RoutedJob, res: http.ServerResponse): Promise<void> {
     const { isStream } = job.call.route;
     try {
-      const answer = await this.obtain(job);
+      const answer = await this.requestAnswer(job);
       const status = answer.kind === 'whole' ? answer.head.status : answer.answer.status;
       await routedAnswers.deliverAnswer(res, answer, isStream, () => this.noteEvents(job));
-      this.noteOutcome(job, 'complete', { status });
+      this.recordOutcome(job, 'complete', { status });
     } catch (err) {
       if (job.abort.signal.reason instanceof CallerGone) {
-        this.noteOutcome(job, 'caller-left', {});
+        this.recordOutcome(job, 'caller-left', {});
         return;
       }
       if (res.headersSent) {
-        this.noteOutcome(job, 'incomplete', { err: schemas.toError(err).message });
+        this.recordOutcome(job, 'incomplete', { err: schemas.toError(err).message });
         res.destroy();
         return;
       }
       const refusal = requests.toRefusal(err);
       const { outcome, status, step } = refusal.options;
-      this.noteOutcome(job, outcome, { reason: refusal.id, status, step, err: refusal.message });
+      this.recordOutcome(job, outcome, { reason: refusal.id, status, step, err: refusal.message });
       throw refusal;
     }
   }
@@ -131,7 +132,7 @@
     }
   }
 
-  private obtain(job: routedJobs.RoutedJob): Promise<routedAnswers.RoutedAnswer> {
+  private requestAnswer(job: routedJobs.RoutedJob): Promise<routedAnswers.RoutedAnswer> {
     const { findBudget } = this.options;
     const { call } = job;
     return requests.runAttempts(
@@ -151,41 +152,41 @@
     );
   }
 
-  /** Picks an upstream; a suspect doesn't go where another one runs, as long as there are others. */
+  /** Picks an upstream. A suspect is not sent where another suspect runs, as long as there are other upstreams. */
   private async choose(job: routedJobs.RoutedJob): Promise<upstreamPickers.PickedUpstream> {
     const { guard, picker } = this.options;
     const { call } = job;
     await guard.admit(job);
-    const avoided = new Set(job.tried);
+    const excluded = new Set(job.tried);
     for (let moves = 0; ; moves += 1) {
-      const picked = await picker.pick(call, avoided);
-      const mayShare = () => moves >= MAX_MOVES || !this.hasOther(call, picked, avoided);
-      const granted = await guard.permit(job, picked.known, mayShare).catch((err: unknown) => {
+      const picked = await picker.pick(call, excluded);
+      const mayShare = () => moves >= MAX_SUSPECT_MOVES || !this.hasOther(call, picked, excluded);
+      const permit = await guard.permit(job, picked.known, mayShare).catch((err: unknown) => {
         picker.release(call, false);
         throw err;
       });
-      if (granted.kind === 'go') {
+      if (permit.kind === 'go') {
         return picked;
       }
       picker.release(call, false);
-      if (granted.kind === 'there') {
-        return picker.pickAt(call, granted.upstream);
+      if (permit.kind === 'there') {
+        return picker.pickAt(call, permit.upstream);
       }
-      avoided.add(picked.upstreamId);
+      excluded.add(picked.upstreamId);
     }
   }
 
   private hasOther(
     { regions, service }: callAdmissions.AdmittedCall,
     picked: upstreamPickers.PickedUpstream,
-    avoided: ReadonlySet<string>,
+    excluded: ReadonlySet<string>,
   ): boolean {
     return this.options.directory
       .listLive(service.name, regions)
-      .some(({ upstreamId }) => upstreamId !== picked.upstreamId && !avoided.has(upstreamId));
+      .some(({ upstreamId }) => upstreamId !== picked.upstreamId && !excluded.has(upstreamId));
   }
 
-  private noteOutcome(job: routedJobs.RoutedJob, outcome: string, details: OutcomeDetails): void {
+  private recordOutcome(job: routedJobs.RoutedJob, outcome: string, details: OutcomeDetails): void {
     const { clock, log, metrics } = this.options;
     const { arrivedAt, route } = job.call;
     const reason = details.reason ?? 'none';
@@ -204,7 +205,7 @@
   }
 }
 
-/** Makes a call's digest when it is first asked for; most calls never need one. */
+/** Computes a call's digest on first use; most calls never need one. */
 function createDigest(
   { method, path, route, team }: callAdmissions.AdmittedCall,
   body: Buffer,
@@ -216,7 +217,7 @@
   };
 }
 
-function createTimeOver(wasSent: boolean): schemas.Refusal {
+function createTimeoutRefusal(wasSent: boolean): schemas.Refusal {
   return new schemas.Refusal({
     id: wasSent ? 'timeOver' : 'timeOverNotRun',
     step: 'wait',
--- a/packages/gateway/src/routed-job.ts
+++ b/packages/gateway/src/routed-job.ts
@@ -1,20 +1,20 @@
 import type * as callAdmissions from './call-admission.js';
 import type * as streamTimes from './stream-times.js';
 
-/** A call under way. */
+/** A call in progress. */
 export interface RoutedJob {
   readonly call: callAdmissions.AdmittedCall;
   readonly body: Buffer;
-  /** What the call is known by when it comes again; made when it is first asked for. */
+  /** Returns the digest that identifies repetitions of the call; computed on first use. */
   readonly getDigest: () => string;
-  /** Ends every attempt: the caller left, or the time is over. */
+  /** Aborts every attempt when the caller has disconnected or the deadline has passed. */
   readonly abort: AbortController;
-  /** The upstreams to which it was sent. */
+  /** Upstreams to which the call was sent. */
   readonly tried: Set<string>;
-  /** The upstream of the last attempt, once there was one. */
+  /** Upstream of the last attempt; `undefined` before the first. */
   upstreamId: string | undefined;
-  /** How often it went on at another engine. */
+  /** Number of times that the call was resumed at another engine. */
   resumes: number;
-  /** When the events of its stream were passed on. */
+  /** Times at which the stream's events were sent to the caller. */
   readonly times: streamTimes.StreamTimes;
 }
--- a/packages/gateway/src/settings-watcher.ts
+++ b/packages/gateway/src/settings-watcher.ts
@@ -2,10 +2,10 @@
 
 import type * as hostSettings from './host-settings.js';
 
-/** How often settings are read again without a signal, in milliseconds; they may change silently. */
-const REREAD_MS = 2_000;
+/** Interval at which the settings are read again without a signal, in milliseconds; they may change without one. */
+const REREAD_INTERVAL_MS = 2_000;
 
-/** The settings in force, read again on a signal and from time to time. */
+/** The settings in force, read again on a signal and periodically. */
 export class SettingsWatcher {
   private current: hostSettings.HostSettings;
   private isStopped = false;
@@ -18,20 +18,20 @@
     this.current = source.read();
   }
 
-  /** The settings in force. */
+  /** Returns the settings in force. */
   public get(): hostSettings.HostSettings {
     return this.current;
   }
 
-  /** Reads again until stopped. */
+  /** Reads the settings periodically until stopped. */
   public async run(): Promise<void> {
     while (!this.isStopped) {
-      await this.clock.sleep(REREAD_MS);
+      await this.clock.sleep(REREAD_INTERVAL_MS);
       this.reread('time');
     }
   }
 
-  /** Reads again now; settings that can't be read leave the former ones in force. */
+  /** Reads the settings now; if they can't be read, the former ones stay in force. */
   public reread(reason: 'time' | 'signal'): void {
     try {
       const next = this.source.read();
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Ends the task. */
+  /** Stops the periodic reads. */
   public stop(): void {
     this.isStopped = true;
   }
--- a/packages/gateway/src/stream-times.ts
+++ b/packages/gateway/src/stream-times.ts
@@ -1,13 +1,13 @@
 import type * as schemas from '@bramleyridge/schemas';
 import type * as telemetry from '@bramleyridge/telemetry';
 
-/** What the line on a stream's end says of its pace, in milliseconds. */
+/** Latencies of a stream for the log of its outcome, in milliseconds. */
 export interface StreamLatency {
   readonly firstEventMs?: number;
   readonly longestGapMs?: number;
 }
 
-/** Notes when the events of one stream are passed on: a stream is late by its first event or by one long pause. */
+/** Records when the events of one stream are sent: a stream is late by its first event or by one long gap. */
 export class StreamTimes {
   private firstEventMs: number | undefined;
   private longestGapMs = 0;
@@ -22,7 +22,7 @@
     this.lastAt = arrivedAt;
   }
 
-  /** Notes that events are passed on now; gives whether they are the first. */
+  /** Records that events are sent now; returns whether they are the first. */
   public recordEvents(): boolean {
     const now = this.clock.now();
     const sinceMs = now - this.lastAt;
@@ -37,7 +37,7 @@
     return false;
   }
 
-  /** The pace so far; nothing for an answer without events. */
+  /** Returns the latencies so far; empty for an answer without events. */
   public getLatency(): StreamLatency {
     return this.firstEventMs === undefined
       ? {}
