--- a/packages/gateway/tests/membership-losses.test.ts
+++ b/packages/gateway/tests/membership-losses.test.ts
@@ -2,28 +2,28 @@
 
 import * as coreSites from './support/core-site.js';
 
-// What operators saw: a configuration that had been acknowledged could not be read back at the end of the day, and
-// callers were refused everywhere, though never more hosts were gone at once than the deployment bears.
-// How it came: a core host went for good and an empty one stood in for it a second later, at another address. Its vote
-// was given to the stand-in only 8 s after the loss, so when the next host went, with 7 s of grace for the first, two of
-// three votes were gone for good. The change had just begun: four votes stood in the log, two of them dead.
-// Cause: a change of votes that begins late, and that on its way needs more votes than before and after it.
-// Proof: the log of the stand-in held nothing until 6.9 s after it was there, and it then counted itself as a voter; no
-// host led from then on. The moments below, at which a loss is borne before and after a change, stop the log during it.
-
-/** How long a host that is new or back may take before the next one may be lost, in milliseconds. */
+// Guards against the loss of the majority although never more hosts are lost at once than the deployment tolerates: an
+// acknowledged configuration could not be read back, and callers were refused everywhere.
+// A core host was lost permanently, and an empty one with another address replaced it a second later. The replacement
+// became a voter only 8 s after the loss: its log was empty until 6.9 s after its start, and it then counted itself as a
+// voter. The next host was lost 7 s after the first, so two of three voters were lost permanently. The membership change
+// was in progress, with four voters in the log, two of them lost, and no leader could be elected from then on.
+// The cause was a membership change that started late and that needs more votes while it is in progress than before or
+// after it. The cases below lose a host at each moment of a change; the log tolerates the loss before and after it.
+
+/** Time that a new or returned host has before the next one may be lost, in milliseconds. */
 const CATCH_UP_MS = 4_000;
 
-/** When a stand-in starts after a host went for good, in milliseconds. */
+/** Time between the permanent loss of a host and the start of its replacement, in milliseconds. */
 const STAND_IN_MS = 1_000;
 
-/** How long a host whose disk was lost is away, in milliseconds. */
+/** Downtime of a host whose disk was lost, in milliseconds. */
 const WIPED_MS = 2_000;
 
-/** The pause between two moments that are tried while votes change, in milliseconds; set it lower for a long run. */
+/** Step between the moments that are tried during a membership change, in milliseconds; set it lower for a long run. */
 const STEP_MS = Number(process.env.SEAT_STEP_MS ?? 5);
 
-/** The pause between two moments that are tried after a change, in milliseconds. */
+/** Step between the moments that are tried after a membership change, in milliseconds. */
 const WIDE_STEP_MS = Number(process.env.SEAT_WIDE_STEP_MS ?? 1_000);
 
 interface Deployment {
@@ -39,7 +39,7 @@
 
 type Site = coreSites.CoreSite;
 
-/** What happens to hosts at one moment: they are gone for good, or come back with or without their disk. */
+/** Kind of loss: the host is lost permanently, or returns without or with its disk. */
 type Loss = 'gone' | 'wiped' | 'killed';
 
 async function startSite(deployment: Deployment, seed: number): Promise<Site> {
@@ -48,7 +48,7 @@
   return site;
 }
 
-/** So many hosts at once, the leader among them or not; hosts that stood in already are taken last. */
+/** Chooses the hosts to lose at once, with or without the leader; replacements are chosen last. */
 function chooseVictims(site: Site, count: number, isLeaderLost: boolean): string[] {
   const leader = site.findLeader();
   const others = site.listUp().filter((coreId) => coreId !== leader);
@@ -57,7 +57,7 @@
     : others.slice(0, count);
 }
 
-/** Loses hosts, and has them come back or others stand in for them. */
+/** Kills hosts, then restarts them or starts their replacements. */
 async function lose(site: Site, victims: readonly string[], loss: Loss): Promise<void> {
   victims.forEach((coreId) => site.kill(coreId));
   await site.clock.advance(loss === 'wiped' ? WIPED_MS : STAND_IN_MS);
@@ -70,7 +70,7 @@
   });
 }
 
-/** What an operator finds wrong at the end: nothing, when a change is acknowledged and what was acknowledged is read. */
+/** Returns the fault that an operator finds at the end: none if acknowledged state is read back and a change is acknowledged. */
 async function findFault(site: Site): Promise<string | undefined> {
   const before = site.acknowledged;
   const read = await site.read();
@@ -80,7 +80,7 @@
   return (await site.declare()) ? undefined : 'no change is acknowledged';
 }
 
-/** Every case that went wrong, by name. */
+/** Lists every case that failed, by name. */
 async function findFaults(
   cases: Iterable<{ name: string; play: () => Promise<Site> }>,
 ): Promise<string[]> {
@@ -98,7 +98,7 @@
   return Array.from({ length: Math.floor((to - from) / step) + 1 }, (_, i) => from + i * step);
 }
 
-/** From when to when votes change after a loss, on the clock of a site with this seed, a little more on both sides. */
+/** Finds the start and end of the membership change after a loss, on the virtual clock with this seed, with a margin. */
 async function findChange(
   deployment: Deployment,
   seed: number,
@@ -118,13 +118,13 @@
 
 for (const deployment of DEPLOYMENTS) {
   const { hosts, lossesToBear } = deployment;
-  const title = `${hosts.length} hosts, ${lossesToBear} to bear`;
+  const title = `${hosts.length} hosts, ${lossesToBear} tolerated losses`;
 
   void tap.default.test(
-    `${title}: as many are lost again once stand-ins had their time`,
+    `${title}: as many are lost again once replacements have had their time`,
     async (t) => {
-      // Three times in a row as many hosts as the deployment bears are gone for good or lose their disks, each time as soon
-      // as those that replace them have been there for the time that the deployment gives them, or later.
+      // Three times in a row, as many hosts as the deployment tolerates are lost permanently or lose their disks, each
+      // time when those that replace them have run for the time that the deployment allows, or later.
       function* listCases() {
         for (const loss of ['gone', 'wiped'] as const) {
           for (const isLeaderLost of [false, true]) {
@@ -149,9 +149,9 @@
     },
   );
 
-  void tap.default.test(`${title}: a stand-in is lost while it gets its vote`, async (t) => {
-    // One host is gone for good; every other one that had a vote stays. The stand-in goes too, for good, at any step of
-    // the change. Without the change that would be no loss, so it must be none during it.
+  void tap.default.test(`${title}: a replacement is lost while it becomes a voter`, async (t) => {
+    // One host is lost permanently, and all other voters stay. The replacement is lost permanently too, at any step of the
+    // membership change. Without the change that would be no loss of a voter, so the group must tolerate it during one.
     const [from, to] = await findChange(deployment, 3, 'gone');
     function* listCases() {
       for (const at of range(from, to, STEP_MS)) {
@@ -177,31 +177,34 @@
 
   for (const loss of ['gone', 'wiped'] as const) {
     for (const killed of ['leader', 'all'] as const) {
-      void tap.default.test(`${title}, ${loss}: ${killed} killed while votes change`, async (t) => {
-        // A host is gone or has lost its disk. At any step of the change the leader, or every host, is killed and is back
-        // a second later with its disk. The change must be finished by whoever leads then: once all have had their
-        // time, as many are lost again as the deployment bears.
-        const [from, to] = await findChange(deployment, 5, loss);
-        function* listCases() {
-          for (const at of range(from, to, STEP_MS)) {
-            yield {
-              name: `at ${at}`,
-              play: async () => {
-                const site = await startSite(deployment, 5);
-                await lose(site, chooseVictims(site, 1, false), loss);
-                await site.clock.advance(at - site.clock.now());
-                const victims = killed === 'all' ? site.listUp() : chooseVictims(site, 1, true);
-                await lose(site, victims, 'killed');
-                await site.clock.advance(2 * CATCH_UP_MS);
-                await site.declare();
-                await lose(site, chooseVictims(site, lossesToBear, false), 'gone');
-                return site;
-              },
-            };
+      void tap.default.test(
+        `${title}, ${loss}: ${killed} killed during a membership change`,
+        async (t) => {
+          // A host is lost or has lost its disk. At any step of the membership change the leader, or every host, is killed and
+          // returns a second later with its disk. The leader elected then must finish the change: once all hosts have had
+          // their time, as many are lost again as the deployment tolerates.
+          const [from, to] = await findChange(deployment, 5, loss);
+          function* listCases() {
+            for (const at of range(from, to, STEP_MS)) {
+              yield {
+                name: `at ${at}`,
+                play: async () => {
+                  const site = await startSite(deployment, 5);
+                  await lose(site, chooseVictims(site, 1, false), loss);
+                  await site.clock.advance(at - site.clock.now());
+                  const victims = killed === 'all' ? site.listUp() : chooseVictims(site, 1, true);
+                  await lose(site, victims, 'killed');
+                  await site.clock.advance(2 * CATCH_UP_MS);
+                  await site.declare();
+                  await lose(site, chooseVictims(site, lossesToBear, false), 'gone');
+                  return site;
+                },
+              };
+            }
           }
-        }
-        t.same(await findFaults(listCases()), []);
-      });
+          t.same(await findFaults(listCases()), []);
+        },
+      );
     }
   }
 }
--- a/packages/gateway/tests/membership-manager.test.ts
+++ b/packages/gateway/tests/membership-manager.test.ts
@@ -15,9 +15,9 @@
   return (await site.declare()) && (await site.read()) === site.acknowledged;
 }
 
-void tap.default.test('a host that is told to stop gives its seat up first', async (t) => {
-  // Operators lost their configuration after a planned stop: the host went with its seat, and the next one was lost
-  // before a spare had it. Here the next one is lost in the very moment in which the process ends.
+void tap.default.test('a host that is to stop leaves the voters first', async (t) => {
+  // Guards against the loss of the configuration after a planned stop: the host stopped as a voter, and the next host was
+  // lost before a spare had replaced it. Here the next host is lost at the moment at which the process ends.
   for (const isLeader of [false, true]) {
     const site = await startSite(FOUR);
     const leader = site.findLeader()!;
@@ -27,43 +27,40 @@
     const second = seated.find((coreId) => coreId !== first)!;
     site.kill(second);
     const who = isLeader ? 'the leader' : 'a follower';
-    t.ok(tookMs < 500, `${who} is gone after ${Math.round(tookMs)} ms`);
-    t.ok(await isServing(site), `${who}: the log goes on without another at once`);
-    t.notOk(site.listVoters().includes(first), `${who} has no seat`);
+    t.ok(tookMs < 500, `${who} has stopped after ${Math.round(tookMs)} ms`);
+    t.ok(await isServing(site), `${who}: the log tolerates another loss at once`);
+    t.notOk(site.listVoters().includes(first), `${who} is no voter`);
     site.stop();
   }
 });
 
-void tap.default.test('a host that nobody can stand in for stops at once', async (t) => {
+void tap.default.test('a host without a spare to replace it stops at once', async (t) => {
   const site = await startSite(FOUR.slice(0, 3));
   const [first] = site.listVoters();
   t.equal(await site.stopHost(first!), 0);
-  t.ok(await isServing(site), 'the two others go on');
+  t.ok(await isServing(site), 'the two others serve');
   site.restart(first!);
   await site.clock.advance(3_000);
-  t.same(site.listVoters(), FOUR.slice(0, 3), 'and it has its seat as before');
+  t.same(site.listVoters(), FOUR.slice(0, 3), 'and it is a voter as before');
   site.stop();
 });
 
-void tap.default.test(
-  'a host that waits in vain for its seat to be taken stops all the same',
-  async (t) => {
-    // The others are out of reach, so nobody can agree to it. The process is killed after 8 s in any case.
-    const site = await startSite(FOUR);
-    const leader = site.findLeader()!;
-    site
-      .listUp()
-      .filter((coreId) => coreId !== leader)
-      .forEach((coreId) => site.kill(coreId));
-    t.ok((await site.stopHost(leader)) <= 2_600);
-    site.stop();
-  },
-);
+void tap.default.test('a host that no spare can replace in time stops all the same', async (t) => {
+  // The other hosts are unreachable, so there is no majority for the change. The process is killed after 8 s in any case.
+  const site = await startSite(FOUR);
+  const leader = site.findLeader()!;
+  site
+    .listUp()
+    .filter((coreId) => coreId !== leader)
+    .forEach((coreId) => site.kill(coreId));
+  t.ok((await site.stopHost(leader)) <= 2_600);
+  site.stop();
+});
 
 void tap.default.test(
-  'a stand-in that comes before the planned stop takes the seat over',
+  'a replacement that starts before the planned stop takes the voter slot',
   async (t) => {
-    // The stand-in starts first, so the next host may be lost 4 s after that, however late the stop is in it.
+    // The replacement starts first, so the next host may be lost 4 s after that, however late in that time the stop is.
     const site = await startSite(FOUR.slice(0, 3));
     site.add('a+');
     await site.clock.advance(3_700);
@@ -78,27 +75,27 @@
   },
 );
 
-void tap.default.test('a host that is gone for a moment stands by when it returns', async (t) => {
-  // To take a host for gone that returns must cost nothing: it has no seat any more, and gets the next that is free.
+void tap.default.test('a host that was gone for a moment is a spare when it returns', async (t) => {
+  // Replacing a host that returns must do no harm: it is no voter any more, and takes the next free slot.
   const site = await startSite(FOUR);
   const leader = site.findLeader()!;
   const away = site.listVoters().find((coreId) => coreId !== leader)!;
   site.kill(away);
   await site.clock.advance(3_000);
-  t.notOk(site.listVoters().includes(away), 'a spare has its seat');
+  t.notOk(site.listVoters().includes(away), 'a spare has its slot');
   site.restart(away);
   await site.clock.advance(1_500);
   t.equal(site.listVoters().length, 3);
   site.kill(site.listVoters().find((coreId) => coreId !== site.findLeader())!);
   await site.clock.advance(3_000);
-  t.ok(site.listVoters().includes(away), 'it takes the seat of the next that is gone');
+  t.ok(site.listVoters().includes(away), 'it takes the slot of the next host that is lost');
   t.ok(await isServing(site));
   site.stop();
 });
 
-void tap.default.test('a silent seat, and a log that stands still, are told', async (t) => {
-  // On call saw nothing but refusals: no line said that a seat was silent, how many losses were left, or that the log
-  // stood still.
+void tap.default.test('a silent voter and a log without a majority are logged', async (t) => {
+  // Guards against operators seeing nothing but refusals: no line said that a voter was silent, how many further losses
+  // the log would tolerate, or that there was no majority.
   const site = await startSite(FOUR.slice(0, 3));
   const leader = site.findLeader()!;
   const [one, two] = site.listVoters().filter((coreId) => coreId !== leader) as [string, string];
@@ -109,15 +106,15 @@
   site.kill(two);
   await site.clock.advance(20_000);
   const told = site.lines.filter(({ fields }) => fields.event === 'no-majority');
-  t.ok(told.length >= 2 && told.length <= 4, `no majority is told ${told.length} times in 20 s`);
+  t.ok(told.length >= 2 && told.length <= 4, `no majority is logged ${told.length} times in 20 s`);
   t.match(told[0]!.fields, { granted: [leader] });
   site.restart(one);
   t.ok(await isServing(site));
   site.stop();
 });
 
-void tap.default.test('a host whose disk hangs loses its seat though it is heard', async (t) => {
-  // It greets and answers, but holds nothing new: with one loss more no majority would be left.
+void tap.default.test('a host whose disk hangs is replaced although it answers', async (t) => {
+  // It sends announcements and answers, but holds no new entries: after one more loss there would be no majority.
   const site = await startSite(FOUR);
   const leader = site.findLeader()!;
   const [stuck, other] = site.listVoters().filter((coreId) => coreId !== leader) as [
@@ -129,36 +126,39 @@
   await site.clock.advance(4_000);
   t.notOk(site.listVoters().includes(stuck));
   site.kill(other);
-  t.ok(await isServing(site), 'and the next loss is borne');
+  t.ok(await isServing(site), 'and the next loss is tolerated');
   site.stop();
 });
 
-void tap.default.test('a spare that cannot catch up keeps no other from the seat', async (t) => {
-  // It greets, but its disk hangs. Were it tried again and again, the seat would stay empty.
-  for (const which of [0, 1]) {
-    const site = await startSite([...FOUR, 'e'], 11);
-    const leader = site.findLeader()!;
-    const seated = site.listVoters();
-    const spares = site.listUp().filter((coreId) => !seated.includes(coreId));
-    t.equal(spares.length, 2);
-    const stuck = spares[which]!;
-    site.hangDisk(stuck);
-    const [gone, other] = seated.filter((coreId) => coreId !== leader) as [string, string];
-    site.kill(gone);
-    await site.clock.advance(6_000);
-    const fit = spares.find((coreId) => coreId !== stuck)!;
-    t.ok(site.listVoters().includes(fit), `${fit} has it while ${stuck} cannot`);
-    site.kill(other);
-    t.ok(await isServing(site), 'and the next loss is borne');
-    site.stop();
-  }
-});
+void tap.default.test(
+  'a spare that cannot catch up does not block another from the slot',
+  async (t) => {
+    // It sends announcements, but its disk hangs. If it were tried again and again, the slot would stay empty.
+    for (const which of [0, 1]) {
+      const site = await startSite([...FOUR, 'e'], 11);
+      const leader = site.findLeader()!;
+      const seated = site.listVoters();
+      const spares = site.listUp().filter((coreId) => !seated.includes(coreId));
+      t.equal(spares.length, 2);
+      const stuck = spares[which]!;
+      site.hangDisk(stuck);
+      const [gone, other] = seated.filter((coreId) => coreId !== leader) as [string, string];
+      site.kill(gone);
+      await site.clock.advance(6_000);
+      const fit = spares.find((coreId) => coreId !== stuck)!;
+      t.ok(site.listVoters().includes(fit), `${fit} takes the slot because ${stuck} cannot`);
+      site.kill(other);
+      t.ok(await isServing(site), 'and the next loss is tolerated');
+      site.stop();
+    }
+  },
+);
 
 void tap.default.test(
-  'the seat of a lost leader is not empty for an election longer',
+  'the slot of a lost leader is not empty for the time of the election as well',
   async (t) => {
-    // The new leader never had an answer of the old one, but was greeted by it up to the end. Counted from its own election
-    // the seat would be empty for 2.7 s and more, and the next loss may come 4 s after a stand-in has started.
+    // The new leader never had an answer from the old one, but has its last announcement. Counted from its own election
+    // the slot would be empty for 2.7 s and more, and the next loss may occur 4 s after a replacement has started.
     for (let seed = 1; seed <= 6; seed += 1) {
       const site = await startSite(FOUR, seed);
       const gone = site.findLeader()!;
--- a/packages/gateway/tests/routed-calls.test.ts
+++ b/packages/gateway/tests/routed-calls.test.ts
@@ -9,25 +9,25 @@
   teardown(handler: () => unknown): void;
 }
 
-/** Answers a call as the upstream that was meant. */
+/** Answers a call with its ID, so that the answer is attributed to the call. */
 function reply(req: http.IncomingMessage, res: http.ServerResponse, status: number, body: string) {
   res.writeHead(status, { 'call-id': req.headers['call-id'], 'content-length': body.length });
   res.end(body);
 }
 
-/** Writes the event with a number. */
+/** Formats the event with a number. */
 function event(n: number): string {
   return `id: ${n}\ndata: part ${n}\n\n`;
 }
 
-/** All events up to a number. */
+/** Formats all events up to a number. */
 function listEvents(count: number): string {
   return Array.from({ length: count }, (_, n) => event(n + 1)).join('');
 }
 
 /**
- * An engine's stream that goes on until it is ended. One that stands still goes on from its copy after 1.5 s, which on a
- * busy machine is sooner than what the test waits for.
+ * An engine's stream that sends events until it is ended. A silent one would be resumed from its copy after 1.5 s, which
+ * on a busy machine may be before the event that the test waits for.
  */
 class TickingStream {
   public count = 0;
@@ -52,12 +52,12 @@
     };
   }
 
-  /** Ends it well. */
+  /** Ends the stream normally. */
   public finish(): void {
     this.end('finish');
   }
 
-  /** Resets its connection, as an engine that dies does. */
+  /** Resets the stream's connection, like an engine that crashes. */
   public die(): void {
     this.end('die');
   }
@@ -83,90 +83,87 @@
   );
 }
 
-void tap.default.test('routed calls are admitted, sent and judged', async (t) => {
-  const site = await createSite(t);
-  const seen: http.IncomingHttpHeaders[] = [];
-  const answers: { status: number; body: string }[] = [];
-  await site.addUpstream('app-1', 'app', (req, res) => {
-    seen.push(req.headers);
-    const next = answers.shift() ?? { status: 200, body: 'ok' };
-    reply(req, res, next.status, next.body);
-  });
+void tap.default.test(
+  'routed calls are admitted and sent, and their answers checked',
+  async (t) => {
+    const site = await createSite(t);
+    const seen: http.IncomingHttpHeaders[] = [];
+    const answers: { status: number; body: string }[] = [];
+    await site.addUpstream('app-1', 'app', (req, res) => {
+      seen.push(req.headers);
+      const next = answers.shift() ?? { status: 200, body: 'ok' };
+      reply(req, res, next.status, next.body);
+    });
 
-  await t.test('before anything is declared a call is told that it has not run', async (t2) => {
-    const res = await site.call('/plain/x');
-    t2.equal(res.status, 503);
-    t2.ok(Number(res.headers['retry-after']) > 0, 'and when to come back');
-  });
-  await declareAndList(site);
+    await t.test('a call before the first declaration is refused as not run', async (t2) => {
+      const res = await site.call('/plain/x');
+      t2.equal(res.status, 503);
+      t2.ok(Number(res.headers['retry-after']) > 0, 'with the time of a retry');
+    });
+    await declareAndList(site);
 
-  await t.test('a call reaches an upstream under its identity and its team', async (t2) => {
-    const res = await site.call('/plain/x', { patience: '900', 'call-id': 'c7' });
-    t2.same([res.status, res.body], [200, 'ok']);
-    const head = seen.at(-1)!;
-    t2.same([head['meant-for'], head.team, head['call-id']], ['app-1', 'sales', 'c7']);
-    t2.ok(Number(head['left-ms']) <= 900, 'with the time that is left');
-    t2.equal(head.key, undefined, 'and without the key');
-  });
+    await t.test('a call reaches its upstream with its ID and its team', async (t2) => {
+      const res = await site.call('/plain/x', { patience: '900', 'call-id': 'c7' });
+      t2.same([res.status, res.body], [200, 'ok']);
+      const head = seen.at(-1)!;
+      t2.same([head['meant-for'], head.team, head['call-id']], ['app-1', 'sales', 'c7']);
+      t2.ok(Number(head['left-ms']) <= 900, 'with the remaining time');
+      t2.equal(head.key, undefined, 'and without the key');
+    });
 
-  await t.test('what may not pass is refused from the head', async (t2) => {
-    const cases = [
-      { name: 'no such path', path: '/none/x', headers: {}, status: 404 },
-      { name: 'no such host', path: '/plain/x', headers: { host: 'other.example' }, status: 404 },
-      { name: 'an unknown key', path: '/plain/x', headers: { key: 'stolen' }, status: 401 },
-      {
-        name: 'headers too large',
-        path: '/plain/x',
-        headers: { a: 'b'.repeat(9_000) },
-        status: 431,
-      },
-    ];
-    for (const { name, path, headers, status } of cases) {
-      t2.equal((await site.call(path, headers)).status, status, name);
-    }
-    const large = await site.call('/plain/x', {}, 'x'.repeat(20_000));
-    t2.equal(large.status, 413, 'a body too large');
-  });
+    await t.test('calls that are not allowed are refused by their headers', async (t2) => {
+      const cases = [
+        { name: 'no such path', path: '/none/x', headers: {}, status: 404 },
+        { name: 'no such host', path: '/plain/x', headers: { host: 'other.example' }, status: 404 },
+        { name: 'an unknown key', path: '/plain/x', headers: { key: 'stolen' }, status: 401 },
+        {
+          name: 'too large headers',
+          path: '/plain/x',
+          headers: { a: 'b'.repeat(9_000) },
+          status: 431,
+        },
+      ];
+      for (const { name, path, headers, status } of cases) {
+        t2.equal((await site.call(path, headers)).status, status, name);
+      }
+      const large = await site.call('/plain/x', {}, 'x'.repeat(20_000));
+      t2.equal(large.status, 413, 'a too large body');
+    });
 
-  await t.test(
-    'an upstream failure is passed on unchanged where nothing else may be tried',
-    async (t2) => {
+    await t.test('an upstream failure is returned unchanged if no retry is allowed', async (t2) => {
       answers.push({ status: 500, body: 'broken' });
       const res = await site.call('/once/x', {}, 'book');
       t2.same([res.status, res.body], [500, 'broken']);
-    },
-  );
-});
-
-void tap.default.test(
-  'a call that runs once is never told to have not run when it may have',
-  async (t) => {
-    // The upstream reads the call and resets the connection; the caller must not be told 503, which means that
-    // it may send the call again without harm.
-    const site = await createSite(t);
-    let runs = 0;
-    await site.addUpstream('app-1', 'app', (req) => {
-      runs += 1;
-      req.socket.resetAndDestroy();
     });
-    await site.addUpstream('app-2', 'app', (req) => {
-      runs += 1;
-      req.socket.resetAndDestroy();
-    });
-    await declareAndList(site);
-    const once = await site.call('/once/x', {}, 'book');
-    t.same([once.status, runs], [502, 1], 'sent once, outcome unknown');
-    const plain = await site.call('/plain/x');
-    t.same(
-      [plain.status, runs],
-      [502, 3],
-      'a call that may be repeated is tried at two, and not at more',
-    );
   },
 );
 
+void tap.default.test('a call that may have run is not refused as not run', async (t) => {
+  // The upstream reads the call and resets the connection. The status must not be 503, which means that the caller may
+  // safely send the call again.
+  const site = await createSite(t);
+  let runs = 0;
+  await site.addUpstream('app-1', 'app', (req) => {
+    runs += 1;
+    req.socket.resetAndDestroy();
+  });
+  await site.addUpstream('app-2', 'app', (req) => {
+    runs += 1;
+    req.socket.resetAndDestroy();
+  });
+  await declareAndList(site);
+  const once = await site.call('/once/x', {}, 'book');
+  t.same([once.status, runs], [502, 1], 'sent once, outcome unknown');
+  const plain = await site.call('/plain/x');
+  t.same(
+    [plain.status, runs],
+    [502, 3],
+    'a call that may be repeated is tried at two upstreams and no more',
+  );
+});
+
 void tap.default.test(
-  'what an upstream refused is tried elsewhere, and an address used again is found out',
+  'a refused call is tried elsewhere, and a reused address is detected',
   async (t) => {
     const site = await createSite(t);
     let refusals = 0;
@@ -180,15 +177,15 @@
     for (let i = 0; i < 10; i += 1) {
       t.equal((await site.call('/once/x', {}, 'book')).status, 200);
     }
-    t.ok(refusals <= 1, 'a process that is not the one that was listed gets nothing more');
+    t.ok(refusals <= 1, 'a process other than the listed one gets no further calls');
   },
 );
 
 void tap.default.test(
-  'the last upstream of a service is not passed over for one refused connection',
+  'one refused connection does not exclude the last upstream of a service',
   async (t) => {
-    // It restarts: one call finds nobody listening and is told that it has not run; the next one, half a second
-    // later, is served, although the list and the upstream's name are still the same.
+    // The upstream restarts: one call finds its port closed and is refused as not run. The next one, half a second later,
+    // is served, although the list and the upstream's name are still the same.
     const site = await createSite(t);
     const address = await site.addUpstream('app-1', 'app', (req, res) =>
       reply(req, res, 200, 'ok'),
@@ -201,9 +198,9 @@
   },
 );
 
-void tap.default.test('a stream whose engine dies goes on from its copy', async (t) => {
-  // The caller gets events 1 to 6, each once and in order. The engine dies inside event 4; another holds a copy
-  // of the generation and goes on behind event 3, the last one that came whole.
+void tap.default.test('a stream whose engine crashes is resumed from its backup', async (t) => {
+  // The caller gets events 1 to 6, each once and in order. The engine crashes within event 4; the backup engine resumes
+  // the generation after event 3, the last complete one.
   const site = await createSite(t);
   const resumedFrom: (string | undefined)[] = [];
   const ranks: (string | undefined)[] = [];
@@ -224,12 +221,16 @@
   const res = await site.call('/drafts/x', { tokens: '400' }, 'write');
   t.equal(res.body, [1, 2, 3, 4, 5, 6].map(event).join(''));
   t.same(resumedFrom, ['3']);
-  t.same(ranks, [undefined, undefined], 'placed by the leader, it preempts nobody');
+  t.same(
+    ranks,
+    [undefined, undefined],
+    'placed by the leader, it has no priority and preempts no other',
+  );
 });
 
-void tap.default.test('a stream whose copy is lost first gets another', async (t) => {
-  // The engine that keeps the copy leaves, and then the one that runs the stream; the run is copied anew and told to
-  // stop, and when the running engine dies the stream goes on from the copy that was made last.
+void tap.default.test('a stream whose backup engine leaves gets another copy', async (t) => {
+  // The backup engine and the engine that runs the stream both leave. The KV cache is copied to a third engine and the run
+  // is stopped; when the running engine crashes, the stream is resumed from the last copy.
   const site = await createSite(t);
   let resumedFrom: string | undefined;
   const stream = new TickingStream();
@@ -246,7 +247,7 @@
   await site.addUpstream('e-2', 'engines', serve);
   await declareAndList(site);
   const answer = site.call('/drafts/x', { tokens: '400' }, 'write');
-  await site.until('under way', () => site.lines.some((line) => line.decision === 'route'));
+  await site.until('started', () => site.lines.some((line) => line.decision === 'route'));
   site.list.upstreams = site.list.upstreams.map((item) => ({ ...item, isLeaving: true }));
   await site.addUpstream('e-3', 'engines', serve);
   await site.until('stopped', () => site.lines.some((line) => line.decision === 'hand-over'));
@@ -262,10 +263,10 @@
 });
 
 void tap.default.test(
-  'an engine that says that it leaves is left before the list shows it',
+  'an engine that reports that it is leaving is evacuated before the list shows it',
   async (t) => {
-    // It has two seconds from its notice, and the list is a second late. Its run is copied at once, and no new work goes
-    // there meanwhile; the list never changes here.
+    // The engine has two seconds after its notice, and the list lags by a second. Its run's KV cache is copied at once, and
+    // it gets no new work; here the list never changes.
     const site = await createSite(t);
     const serve = (req: http.IncomingMessage, res: http.ServerResponse) => {
       res.writeHead(200, { 'call-id': req.headers['call-id'] });
@@ -274,12 +275,12 @@
     const leaving = await site.addUpstream('e-1', 'engines', serve);
     await declareAndList(site);
     const answer = site.call('/drafts/x', { tokens: '400' }, 'write').catch(() => 'left');
-    await site.until('under way', () => site.lines.some((line) => line.decision === 'route'));
+    await site.until('started', () => site.lines.some((line) => line.decision === 'route'));
     const holder = await site.addUpstream('e-2', 'engines', serve);
     const listLive = () => site.entry.directory.listLive('engines').map((item) => item.upstreamId);
     await site.until('listed', () => listLive().length === 2);
     site.reportLeaving.add(leaving);
-    await site.until('left by new work', () => listLive().join() === 'e-2');
+    await site.until('excluded from new work', () => listLive().join() === 'e-2');
     await site.until('copied', () => site.lines.some((line) => line.decision === 'copy'));
     t.equal(site.engines.copies[0]!.targetAddress, holder);
     site.disconnectCallers();
@@ -287,53 +288,56 @@
   },
 );
 
-void tap.default.test('a copy goes where there is room, once the run has begun', async (t) => {
-  // An engine leaves. At first it has not begun with the run, which is no reason to ask for another holder; then the
-  // holder has no room, and another takes the copy before the engine is gone.
-  const site = await createSite(t);
-  const serve = (req: http.IncomingMessage, res: http.ServerResponse) => {
-    res.writeHead(200, { 'call-id': req.headers['call-id'] });
-    res.write('id: 1\ndata: a\n\n');
-  };
-  await site.addUpstream('e-1', 'engines', serve);
-  await declareAndList(site);
-  site.engines.refusals.push('no-run', 'no-room');
-  const answer = site.call('/drafts/x', { tokens: '400' }, 'write').catch(() => 'left');
-  await site.until('under way', () => site.lines.some((line) => line.decision === 'route'));
-  site.list.upstreams = site.list.upstreams.map((item) => ({ ...item, isLeaving: true }));
-  await site.addUpstream('e-2', 'engines', serve);
-  await site.addUpstream('e-3', 'engines', serve);
-  await site.until('copied', () => site.lines.some((line) => line.decision === 'copy'));
-  const [early, full] = site.engines.refused;
-  t.equal(full, early, 'the same holder is asked again');
-  t.not(site.engines.copies[0]!.targetAddress, full, 'and another one when it is full');
-  site.disconnectCallers();
-  await answer;
-});
+void tap.default.test(
+  'a copy is made to an engine with capacity, once the run has begun',
+  async (t) => {
+    // An engine is leaving. At first it has not begun the run, which is no reason to choose another target engine; then the
+    // target engine has no capacity, and another one takes the copy before the leaving engine has stopped.
+    const site = await createSite(t);
+    const serve = (req: http.IncomingMessage, res: http.ServerResponse) => {
+      res.writeHead(200, { 'call-id': req.headers['call-id'] });
+      res.write('id: 1\ndata: a\n\n');
+    };
+    await site.addUpstream('e-1', 'engines', serve);
+    await declareAndList(site);
+    site.engines.refusals.push('no-run', 'no-room');
+    const answer = site.call('/drafts/x', { tokens: '400' }, 'write').catch(() => 'left');
+    await site.until('started', () => site.lines.some((line) => line.decision === 'route'));
+    site.list.upstreams = site.list.upstreams.map((item) => ({ ...item, isLeaving: true }));
+    await site.addUpstream('e-2', 'engines', serve);
+    await site.addUpstream('e-3', 'engines', serve);
+    await site.until('copied', () => site.lines.some((line) => line.decision === 'copy'));
+    const [early, full] = site.engines.refused;
+    t.equal(full, early, 'the same target engine is tried again');
+    t.not(site.engines.copies[0]!.targetAddress, full, 'and another one when it has no capacity');
+    site.disconnectCallers();
+    await answer;
+  },
+);
 
-void tap.default.test('a copy that was made on order and not needed is freed', async (t) => {
-  // An engine leaves and its run is copied, but ends before the engine is gone. The copy would take the room of
-  // another draft for five seconds more, on days when every place counts.
+void tap.default.test('a copy made for a migration and not needed is released', async (t) => {
+  // An engine is leaving and its run's KV cache is copied, but the run ends before the engine has stopped. The copy would
+  // take the memory of another long generation for five more seconds, even when all capacity is needed.
   const site = await createSite(t);
   const stream = new TickingStream();
   const serve = (req: http.IncomingMessage, res: http.ServerResponse) => stream.serve(req, res);
   const runner = await site.addUpstream('e-1', 'engines', serve);
   await declareAndList(site);
   const answer = site.call('/drafts/x', { tokens: '400' }, 'write');
-  await site.until('under way', () => site.lines.some((line) => line.decision === 'route'));
+  await site.until('started', () => site.lines.some((line) => line.decision === 'route'));
   site.list.upstreams = site.list.upstreams.map((item) => ({ ...item, isLeaving: true }));
   await site.addUpstream('e-2', 'engines', serve);
   await site.until('copied', () => site.lines.some((line) => line.decision === 'hand-over'));
   stream.finish();
   t.equal((await answer).body, listEvents(stream.count));
-  await site.until('freed', () => site.engines.dropped.length > 0);
-  t.same(site.engines.dropped, [`${runner}/copy-2`], 'by the name that it had last');
+  await site.until('released', () => site.engines.dropped.length > 0);
+  t.same(site.engines.dropped, [`${runner}/copy-2`], 'by the handle of the last copy');
 });
 
-void tap.default.test('a run is handed over by an engine that leaves', async (t) => {
-  // The engine says that it leaves. The memory of its run is copied while the stream goes on; then the engine is told to
-  // stop it, which ends the stream without its end, and it goes on at the other engine behind the last event.
-  // The caller gets each event once and notices a short pause.
+void tap.default.test('a run migrates from an engine that is leaving', async (t) => {
+  // The engine reports that it is leaving. Its run's KV cache is copied while the stream continues; then the engine is
+  // ordered to stop the run, which truncates the stream, and the run is resumed at the other engine after the last event.
+  // The caller gets each event once, with a short gap.
   const site = await createSite(t);
   const resumed: (string | undefined)[] = [];
   let stop = () => {};
@@ -355,7 +359,7 @@
     }
   };
   const answer = site.call('/drafts/x', { tokens: '400' }, 'write');
-  await site.until('under way', () => site.lines.some((line) => line.decision === 'route'));
+  await site.until('started', () => site.lines.some((line) => line.decision === 'route'));
   await site.addUpstream('e-2', 'engines', serve);
   const listLive = () => site.entry.directory.listLive('engines').length;
   await site.until('listed', () => listLive() === 2);
@@ -364,33 +368,36 @@
   t.same(resumed, [`${runner}/copy-2`, '1']);
 });
 
-void tap.default.test('a stream that may be resumed goes on without a copy', async (t) => {
-  // A short answer has no copy. Its engine dies inside event 2; the route allows a second run behind the last event that
-  // came whole, so another engine goes on. Where the route allows one run only, the caller is told that it broke off.
-  const site = await createSite(t);
-  const resumedFrom: (string | undefined)[] = [];
-  const serve = (req: http.IncomingMessage, res: http.ServerResponse) => {
-    res.writeHead(200, { 'call-id': req.headers['call-id'] });
-    if (req.headers['last-event-id'] === undefined) {
-      res.write(`${event(1)}id: 2\nda`);
-      setTimeout(() => req.socket.resetAndDestroy(), 50);
-      return;
-    }
-    resumedFrom.push(req.headers['last-event-id'].toString());
-    res.end(event(2));
-  };
-  await site.addUpstream('e-1', 'engines', serve);
-  await site.addUpstream('e-2', 'engines', serve);
-  await declareAndList(site);
-  const res = await site.call('/checks/x', { tokens: '20' }, 'check');
-  t.equal(res.body, event(1) + event(2));
-  t.same(resumedFrom, ['1']);
-  await t.rejects(site.call('/drafts/x', { tokens: '20', 'call-id': 'c2' }, 'write'));
-});
+void tap.default.test(
+  'a stream is resumed without a copy if its route allows another run',
+  async (t) => {
+    // A short answer has no backup. Its engine crashes within event 2; the route allows a second run after the last complete
+    // event, so another engine resumes. Where the route allows only one run, the caller's connection breaks.
+    const site = await createSite(t);
+    const resumedFrom: (string | undefined)[] = [];
+    const serve = (req: http.IncomingMessage, res: http.ServerResponse) => {
+      res.writeHead(200, { 'call-id': req.headers['call-id'] });
+      if (req.headers['last-event-id'] === undefined) {
+        res.write(`${event(1)}id: 2\nda`);
+        setTimeout(() => req.socket.resetAndDestroy(), 50);
+        return;
+      }
+      resumedFrom.push(req.headers['last-event-id'].toString());
+      res.end(event(2));
+    };
+    await site.addUpstream('e-1', 'engines', serve);
+    await site.addUpstream('e-2', 'engines', serve);
+    await declareAndList(site);
+    const res = await site.call('/checks/x', { tokens: '20' }, 'check');
+    t.equal(res.body, event(1) + event(2));
+    t.same(resumedFrom, ['1']);
+    await t.rejects(site.call('/drafts/x', { tokens: '20', 'call-id': 'c2' }, 'write'));
+  },
+);
 
-void tap.default.test('a stream ends when its engine has started again', async (t) => {
-  // The engine crashes behind a cut and starts again under its name: the connection stands and nothing comes. The list
-  // tells of the new start. The run is gone, and the caller is told so at once instead of waiting for all of its time.
+void tap.default.test('a stream ends when its engine has restarted', async (t) => {
+  // The engine crashes behind a network partition and restarts under its name: the connection stays open and silent. The
+  // list shows the new start time. The run is lost, and the caller's stream ends at once instead of at its deadline.
   const site = await createSite(t);
   const serve = (req: http.IncomingMessage, res: http.ServerResponse) => {
     res.writeHead(200, { 'call-id': req.headers['call-id'] });
@@ -401,17 +408,17 @@
   await declareAndList(site);
   const answer = site.call('/drafts/x', { tokens: '400' }, 'write');
   const refused = t.rejects(answer);
-  await site.until('under way', () => site.lines.some((line) => line.decision === 'route'));
+  await site.until('started', () => site.lines.some((line) => line.decision === 'route'));
   site.list.upstreams = site.list.upstreams.map((item) => ({ ...item, bornMs: 2_000 }));
   await refused;
   t.ok(site.lines.some((line) => line.event === 'upstream-reborn'));
   const outcome = site.lines.find((line) => line.decision === 'outcome');
-  t.match(outcome?.err, /started again/, 'and not because its time is over');
+  t.match(outcome?.err, /started again/, 'and not because of its deadline');
 });
 
-void tap.default.test('a silent stream with a copy goes on elsewhere', async (t) => {
-  // The engine is behind a partition: the connection stands and nothing comes. The caller would give up after
-  // some seconds; the stream goes on from the copy before that.
+void tap.default.test('a silent stream with a backup is resumed elsewhere', async (t) => {
+  // The engine is behind a network partition: the connection stays open and silent. The caller would give up after some
+  // seconds; the stream is resumed from the backup before that.
   const site = await createSite(t);
   const serve = (req: http.IncomingMessage, res: http.ServerResponse) => {
     res.writeHead(200, { 'call-id': req.headers['call-id'] });
@@ -428,18 +435,21 @@
   t.equal(res.body, event(1) + event(2));
 });
 
-void tap.default.test('a stream without a copy ends broken, never complete', async (t) => {
-  const site = await createSite(t);
-  await site.addUpstream('e-1', 'engines', (req, res) => {
-    res.writeHead(200, { 'call-id': req.headers['call-id'] });
-    res.write('id: 1\ndata: a\n\n');
-    setTimeout(() => req.socket.resetAndDestroy(), 50);
-  });
-  await declareAndList(site);
-  await t.rejects(site.call('/drafts/x', { tokens: '400' }, 'write'));
-});
+void tap.default.test(
+  'a stream without a backup is truncated and does not look complete',
+  async (t) => {
+    const site = await createSite(t);
+    await site.addUpstream('e-1', 'engines', (req, res) => {
+      res.writeHead(200, { 'call-id': req.headers['call-id'] });
+      res.write('id: 1\ndata: a\n\n');
+      setTimeout(() => req.socket.resetAndDestroy(), 50);
+    });
+    await declareAndList(site);
+    await t.rejects(site.call('/drafts/x', { tokens: '400' }, 'write'));
+  },
+);
 
-void tap.default.test('a caller that leaves ends the work for it at once', async (t) => {
+void tap.default.test('the disconnect of a caller ends its run at once', async (t) => {
   const site = await createSite(t);
   let isClosed = false;
   await site.addUpstream('e-1', 'engines', (req, res) => {
@@ -451,27 +461,24 @@
   });
   await declareAndList(site);
   const left = site.call('/drafts/x', { tokens: '400' }, 'write').catch(() => 'left');
-  await site.until('under way', () => site.lines.some((line) => line.decision === 'route'));
+  await site.until('started', () => site.lines.some((line) => line.decision === 'route'));
   site.disconnectCallers();
   t.equal(await left, 'left');
   await site.until('ended at the engine', () => isClosed);
-  // The route's own time would end it too, only much later.
-  await site.until('told', () => site.lines.some((line) => line.decision === 'outcome'));
+  // The route's timeout would end it too, but much later.
+  await site.until('logged', () => site.lines.some((line) => line.decision === 'outcome'));
   t.equal(site.lines.find((line) => line.decision === 'outcome')?.outcome, 'caller-left');
 });
 
-void tap.default.test(
-  'an answer that does not come in time gets its final answer then',
-  async (t) => {
-    const site = await createSite(t);
-    await site.addUpstream('app-1', 'app', () => {});
-    await declareAndList(site);
-    const res = await site.call('/once/x', { patience: '300' }, 'book');
-    t.equal(res.status, 504);
-  },
-);
+void tap.default.test('a call without an answer is refused at its deadline', async (t) => {
+  const site = await createSite(t);
+  await site.addUpstream('app-1', 'app', () => {});
+  await declareAndList(site);
+  const res = await site.call('/once/x', { patience: '300' }, 'book');
+  t.equal(res.status, 504);
+});
 
-void tap.default.test('a planned stop finishes what runs', async (t) => {
+void tap.default.test('a planned stop finishes running calls', async (t) => {
   const site = await createSite(t);
   const finish: (() => void)[] = [];
   await site.addUpstream('app-1', 'app', (req, res) => {
@@ -488,10 +495,10 @@
 });
 
 void tap.default.test(
-  'late in a planned stop nothing new is taken that the end would cut',
+  'late in a planned stop, new calls that could not finish are refused',
   async (t) => {
-    // The host is told to stop while a long call runs. A caller on a kept connection sends another when the balancer
-    // has long gone elsewhere; it is told that this one has not run, and the long one is finished.
+    // The host is stopped while a long call runs. A caller with a kept-alive connection sends another call long after the
+    // load balancer has removed the host. That call is refused as not run, and the long one finishes.
     const site = await createSite(t);
     const finish: (() => void)[] = [];
     await site.addUpstream('app-1', 'app', (req, res) => {
@@ -506,16 +513,16 @@
     });
     const late = await site.call('/once/x', { 'call-id': 'c2' }, 'book');
     t.same([late.status, late.headers.connection], [503, 'close']);
-    t.equal(finish.length, 1, 'and it truly did not run');
+    t.equal(finish.length, 1, 'and it has not reached the upstream');
     finish[0]!();
     t.equal((await long).body, 'long');
     await stopped;
   },
 );
 
-void tap.default.test('metrics and lines tell how calls ended', async (t) => {
-  // Who is told of a failed call has its identifier, and from the lines with it the upstream and the reason; the
-  // metrics show how many there are like it.
+void tap.default.test('metrics and log lines show how calls ended', async (t) => {
+  // An operator who gets the ID of a failed call finds its upstream and the reason in the log lines with this ID; the
+  // metrics show how many calls failed the same way.
   const site = await createSite(t);
   let cut = () => {};
   await site.addUpstream('app-1', 'app', (req, res) => reply(req, res, 200, 'ok'));
@@ -529,13 +536,13 @@
   await site.call('/none/x', { 'call-id': 'nowhere' });
   const drafted = site.call('/drafts/x', { 'call-id': 'cut', tokens: '400' }, 'write');
   const ended = drafted.catch(() => 'cut');
-  // A reset that is found together with the event would end the attempt before its answer began.
-  await site.until('under way', async () =>
+  // A reset that is received together with the event would end the attempt before its answer began.
+  await site.until('started', async () =>
     /first_event_ms_count\{route="drafts"\} 1/.test(await site.metrics.render()),
   );
   cut();
   await ended;
-  await site.until('told', () => site.lines.some((line) => line.outcome === 'incomplete'));
+  await site.until('logged', () => site.lines.some((line) => line.outcome === 'incomplete'));
   const about = (id: string) => site.lines.filter((line) => line.request === id);
   t.match(about('good').at(-1), { decision: 'outcome', outcome: 'complete', upstream: 'app-1' });
   t.match(about('nowhere'), [{ decision: 'refuse', reason: 'noRoute', status: 404 }]);
--- a/packages/gateway/tests/support/core-site.ts
+++ b/packages/gateway/tests/support/core-site.ts
@@ -3,30 +3,30 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as xoroshiro from 'pure-rand/generator/xoroshiro128plus';
 
-import * as coreGreeters from '../../src/core-discovery.js';
+import * as coreDiscoveries from '../../src/core-discovery.js';
 import * as coreGroups from '../../src/core-group.js';
 import type * as coreMeshes from '../../src/core-mesh.js';
-import * as coreTables from '../../src/core-host-registry.js';
+import * as coreHostRegistries from '../../src/core-host-registry.js';
 
-/** How long a message is under way at most, in milliseconds. */
+/** Maximum latency of a message, in milliseconds. */
 const MAX_DELAY_MS = 3;
 
-/** How long a core host may take to answer another, in milliseconds. */
+/** Deadline of a request between core hosts, in milliseconds. */
 const DEADLINE_MS = 500;
 
-/** How long a disk takes for a sync, in milliseconds. */
+/** Duration of a disk's sync, in milliseconds. */
 const SYNC_MS = 5;
 
-/** How long an operator goes on asking for an acknowledgment, in milliseconds. */
+/** Time for which an operator retries until an acknowledgment, in milliseconds. */
 const OPERATOR_MS = 10_000;
 
-/** The pause before an operator asks again, in milliseconds. */
+/** Delay before an operator's retry, in milliseconds. */
 const ASK_AGAIN_MS = 50;
 
-/** How many hosts the settings of one name. */
+/** Number of hosts that the settings of one host name. */
 const SEEDS = 3;
 
-/** One log line with when it came. */
+/** A log line with the time at which it was written. */
 export interface LogLine {
   readonly at: number;
   readonly coreId: string;
@@ -36,13 +36,13 @@
 interface Host {
   readonly coreId: string;
   readonly group: coreGroups.CoreGroup;
-  readonly greeter: coreGreeters.CoreDiscovery;
+  readonly greeter: coreDiscoveries.CoreDiscovery;
   readonly files: fakes.MemoryFiles;
   readonly disk: SlowFiles;
   isUp: boolean;
 }
 
-/** A disk whose syncs take their time, so that changes come between them; a stuck one never ends any. */
+/** A disk whose syncs take some time, so that changes occur between them; on a hanging disk they never end. */
 class SlowFiles implements consensus.FileStorage {
   public isStuck = false;
 
@@ -78,11 +78,11 @@
   }
 }
 
-/** Core hosts' parts in the replicated log, in one process on virtual time, over links that lose nothing but hosts. */
+/** The consensus members of core hosts in one process on virtual time; messages are lost only with their hosts. */
 export class CoreSite {
   public readonly clock = new schemas.VirtualClock();
   public readonly lines: LogLine[] = [];
-  /** The highest version that an operator was told is acknowledged. */
+  /** Highest version that was acknowledged to an operator. */
   public acknowledged = 0;
   private readonly hosts = new Map<string, Host>();
   private readonly rng: ReturnType<typeof xoroshiro.xoroshiro128plus>;
@@ -96,7 +96,7 @@
     this.rng = xoroshiro.xoroshiro128plus(seed);
   }
 
-  /** Starts all hosts for the first time; the first three found the log. */
+  /** Starts all hosts for the first time; the first three are the founders of the log. */
   public async start(coreIds: readonly string[]): Promise<void> {
     this.founders = coreIds.slice(0, SEEDS);
     coreIds.forEach((coreId) => this.startHost(coreId, new fakes.MemoryFiles(), this.founders));
@@ -109,7 +109,7 @@
     this.startHost(coreId, new fakes.MemoryFiles(), []);
   }
 
-  /** Takes a host's power away. */
+  /** Kills a host as a power loss does. */
   public kill(coreId: string): void {
     const host = this.hosts.get(coreId);
     if (host === undefined) {
@@ -121,12 +121,12 @@
     host.files.crashAfter(0, 0);
   }
 
-  /** Has a host's disk hang from now on; the host itself goes on. */
+  /** Makes a host's disk hang from now on; the host itself continues. */
   public hangDisk(coreId: string): void {
     this.hosts.get(coreId)!.disk.isStuck = true;
   }
 
-  /** Stops a host as an operator does; gives back how long that took, in milliseconds. */
+  /** Stops a host gracefully; returns the duration, in milliseconds. */
   public async stopHost(coreId: string): Promise<number> {
     const { greeter, group } = this.hosts.get(coreId)!;
     const startedAt = this.clock.now();
@@ -140,30 +140,30 @@
     return done[0]!;
   }
 
-  /** Who votes, as the leader has it. */
+  /** Lists the voters according to the leader. */
   public listVoters(): string[] {
     const leader = this.hosts.get(this.findLeader() ?? '');
     const voters = leader?.group.getVoter().entries.getVoters() ?? [];
     return voters.map((seat) => seat.daemonId).sort();
   }
 
-  /** Starts a host that lost its power, on the disk that it had or on an empty one. */
+  /** Restarts a killed host, with its disk or with an empty one. */
   public restart(coreId: string, isWiped = false): void {
     const files = isWiped ? new fakes.MemoryFiles() : this.hosts.get(coreId)!.files.reopen();
     this.startHost(coreId, files, []);
   }
 
-  /** The hosts that run. */
+  /** Lists the running hosts. */
   public listUp(): string[] {
     return [...this.hosts.values()].filter((host) => host.isUp).map((host) => host.coreId);
   }
 
-  /** Who leads and is confirmed by a majority. */
+  /** Returns the leader that a majority has confirmed. */
   public findLeader(): string | undefined {
     return [...this.hosts.values()].find((host) => host.isUp && host.group.isLeading())?.coreId;
   }
 
-  /** Declares the next version; gives back whether it was acknowledged in time. */
+  /** Declares the next version; returns whether it was acknowledged in time. */
   public async declare(): Promise<boolean> {
     this.version += 1;
     const { version } = this;
@@ -177,7 +177,7 @@
     return result ?? false;
   }
 
-  /** Orders a zone to be evacuated or taken back; gives back whether it was acknowledged in time. */
+  /** Orders the evacuation of a zone or its end; returns whether it was acknowledged in time. */
   public async evacuate(availabilityZone: string, isEvacuated: boolean): Promise<boolean> {
     const result = await this.ask(async (group) => {
       const expectedRevision = group.evacuations.get().revision;
@@ -192,7 +192,7 @@
     return result ?? false;
   }
 
-  /** Reads the evacuated zones back; nothing where nobody can tell. */
+  /** Reads the evacuated zones; `undefined` if no leader answers in time. */
   public readEvacuatedZones(): Promise<readonly string[] | undefined> {
     return this.ask(async (group) => {
       await group.getLeadership().barrier();
@@ -200,13 +200,13 @@
     });
   }
 
-  /** The revision of evacuated zones at every host that runs. */
+  /** Lists the revision of the evacuated zones on every running host. */
   public listRevisions(): ReadonlyMap<string, number> {
     const up = [...this.hosts.values()].filter((host) => host.isUp);
     return new Map(up.map((host) => [host.coreId, host.group.evacuations.get().revision]));
   }
 
-  /** Reads the version in force back; nothing where nobody can tell. */
+  /** Reads the version in force; `undefined` if no leader answers in time. */
   public read(): Promise<number | undefined> {
     return this.ask(async (group) => {
       await group.getLeadership().barrier();
@@ -214,17 +214,17 @@
     });
   }
 
-  /** When a line first came, on the clock; nothing when it never did. */
+  /** Returns the time of the first matching log line; `undefined` if there is none. */
   public findAt(isIt: (fields: Record<string, unknown>) => boolean): number | undefined {
     return this.lines.find(({ fields }) => isIt(fields))?.at;
   }
 
-  /** Ends every host. */
+  /** Kills every host. */
   public stop(): void {
     [...this.hosts.keys()].forEach((coreId) => this.kill(coreId));
   }
 
-  /** Asks whoever leads, again and again, while time moves on. */
+  /** Sends a request to the leader repeatedly while virtual time advances, until one succeeds. */
   private async ask<T>(work: (group: coreGroups.CoreGroup) => Promise<T>): Promise<T | undefined> {
     const end = this.clock.now() + OPERATOR_MS;
     const answers: T[] = [];
@@ -245,9 +245,9 @@
     const { clock } = this;
     const log = this.createLog(coreId);
     const disk = new SlowFiles(files, clock);
-    const table = new coreTables.CoreHostRegistry(coreId, clock);
+    const table = new coreHostRegistries.CoreHostRegistry(coreId, clock);
     const mesh = this.createPeers(coreId);
-    // A stand-in is in the zone of the host that it stands in for.
+    // A replacement is in the zone of the host that it replaces.
     const availabilityZone = coreId.charAt(0);
     const group = new coreGroups.CoreGroup({
       coreId,
@@ -261,12 +261,12 @@
       log,
       random: () => this.random(),
     });
-    // The settings of a host name others that serve when they are written, not the first ones for ever: in the third
-    // round of losses none of those is left, and a host that knew only them would never be heard.
+    // A host's settings name hosts that run when the settings are written, not always the first ones: after three rounds
+    // of losses none of those is left, and a host with only their names could reach no other.
     const others = this.listUp().filter((other) => other !== coreId);
     const seeds = founders.length > 0 ? founders : others.slice(0, SEEDS);
     const listSeeds = () => seeds;
-    const greeter = new coreGreeters.CoreDiscovery({
+    const greeter = new coreDiscoveries.CoreDiscovery({
       coreId,
       availabilityZone,
       group,
--- a/packages/gateway/tests/support/small-site.ts
+++ b/packages/gateway/tests/support/small-site.ts
@@ -11,8 +11,8 @@
 
 import * as testWires from './test-wire.js';
 
-/** How long anything that should happen may take before the test gives up, in milliseconds. */
-const PATIENCE_MS = 20_000;
+/** Time after which `until` fails, in milliseconds. */
+const UNTIL_TIMEOUT_MS = 20_000;
 
 interface Teardown {
   teardown(handler: () => unknown): void;
@@ -26,18 +26,18 @@
   watch: gateway.SettingsWatcher;
 }
 
-/** Core hosts and one entry host in this process, over real sockets on loopback addresses of their own. */
+/** Core hosts and one entry host in this process, with real sockets on separate loopback addresses. */
 export class SmallSite {
   public readonly list = new testWires.TestList();
   public readonly engines = new testWires.TestEngines();
-  /** The addresses of engines that say themselves that they leave. */
+  /** Addresses of the engines that report that they are leaving. */
   public readonly reportLeaving = new Set<string>();
-  /** Of the entry host; core hosts keep theirs apart, as processes of their own do. */
+  /** Metrics of the entry host; each core host has its own, as in separate processes. */
   public readonly metrics = new telemetry.TextMetrics();
   public readonly lines: Record<string, unknown>[] = [];
   public entry!: gateway.EntryHost;
   public entryPort = 0;
-  /** Entry hosts besides the first. */
+  /** Entry hosts other than the first. */
   public readonly others: { readonly host: gateway.EntryHost; readonly port: number }[] = [];
   private readonly clock = new schemas.SystemClock();
   private readonly cores = new Map<string, CoreSlot>();
@@ -49,7 +49,7 @@
 
   public constructor(private readonly t: Teardown) {}
 
-  /** Starts so many core hosts, of which the first three found the log, and an entry host. */
+  /** Starts an entry host and `coreCount` core hosts, the first three of which are the founders of the log. */
   public async start(coreCount: number): Promise<void> {
     const held = await fakes.HeldPorts.take(1);
     this.t.teardown(() => held.release());
@@ -67,7 +67,7 @@
     });
   }
 
-  /** Starts one more entry host. */
+  /** Starts another entry host. */
   public async addEntry(): Promise<void> {
     const hostId = `entry-${this.others.length + 2}`;
     const host = this.createEntry(hostId, new telemetry.TextMetrics());
@@ -75,7 +75,7 @@
     this.t.teardown(() => host.kill());
   }
 
-  /** Takes the power of every host away and gives it back: what was in memory is gone, disks are as they were synced. */
+  /** Kills and restarts every host: memory is lost, and disks hold what was synced. */
   public async powerCycle(): Promise<void> {
     this.entry.kill();
     this.others.splice(0).forEach(({ host }) => host.kill());
@@ -87,18 +87,18 @@
     await this.addEntry();
   }
 
-  /** The core host that leads. */
+  /** Returns the core host that leads. */
   public findLeader(): string | undefined {
     return this.lines.findLast(({ decision }) => decision === 'lead')?.host as string;
   }
 
-  /** Adds a core host that is not started yet. */
+  /** Adds a core host without starting it. */
   public addCore(ip: string, isFirstStart: boolean): void {
     const settings = this.createSettings(ip, isFirstStart);
     this.cores.set(ip, { settings, host: undefined, watch: this.createWatch(settings) });
   }
 
-  /** Starts a core host on the folder that it left, or on none. */
+  /** Starts a core host with its data folder, if there is one. */
   public async startCore(ip: string): Promise<void> {
     const slot = this.cores.get(ip)!;
     slot.host = new gateway.CoreHost({
@@ -114,25 +114,25 @@
     await slot.host.start();
   }
 
-  /** Ends a core host; with `isWiped` its disk is lost too. */
+  /** Kills a core host; with `isWiped` its disk is lost too. */
   public stopCore(ip: string, isWiped = false): void {
     const slot = this.cores.get(ip)!;
     slot.host?.kill();
     slot.host = undefined;
-    // Only the very first start of all hosts is one.
+    // Only the initial start of all hosts is a first start.
     slot.watch = this.createWatch({ ...slot.settings, isFirstStart: false });
     if (isWiped) {
       fs.rmSync(slot.settings.dataFolder!, { recursive: true, force: true });
     }
   }
 
-  /** The operators' desk of the first core host that runs, or of a certain one. */
+  /** Returns the operator service of the first running core host, or of the given one. */
   public getOperatorService(ip?: string): gateway.OperatorService {
     const slots = ip === undefined ? [...this.cores.values()] : [this.cores.get(ip)!];
     return slots.find(({ host }) => host !== undefined)!.host!.operatorService;
   }
 
-  /** Orders a zone to be evacuated, or taken back, at a core host that runs or at a certain one. */
+  /** Orders the evacuation of a zone or its end, at a running core host or at the given one. */
   public async evacuate(zone: string, isEvacuated: boolean, ip?: string): Promise<void> {
     const slots = ip === undefined ? [...this.cores.values()] : [this.cores.get(ip)!];
     const { signal } = new AbortController();
@@ -143,7 +143,7 @@
     });
   }
 
-  /** Declares routes under the next version, until it is acknowledged. */
+  /** Declares a configuration under the next version, until it is acknowledged. */
   public async declare(change: Partial<schemas.RoutedConfig>): Promise<number> {
     this.version += 1;
     const text = JSON.stringify({ ...createConfig(this.version), ...change });
@@ -154,9 +154,9 @@
     return this.version;
   }
 
-  /** Waits until something is so; attempts that fail are tried again. */
+  /** Waits until a condition holds; a condition that throws is tried again. */
   public async until(what: string, isSo: () => boolean | Promise<boolean>): Promise<void> {
-    const end = this.clock.now() + PATIENCE_MS;
+    const end = this.clock.now() + UNTIL_TIMEOUT_MS;
     let last: unknown;
     while (this.clock.now() < end) {
       try {
@@ -168,10 +168,10 @@
       }
       await this.clock.sleep(20);
     }
-    throw new Error(`not ${what} within ${PATIENCE_MS} ms: ${schemas.toError(last).message}`);
+    throw new Error(`not ${what} within ${UNTIL_TIMEOUT_MS} ms: ${schemas.toError(last).message}`);
   }
 
-  /** Starts an upstream and lists it. */
+  /** Starts an upstream and adds it to the list. */
   public async addUpstream(
     upstreamId: string,
     service: string,
@@ -191,19 +191,19 @@
     return address;
   }
 
-  /** Ends an upstream's process; it stays listed. */
+  /** Stops an upstream; it stays on the list. */
   public closeUpstream(address: string): void {
     const server = this.upstreams.get(address);
     server?.closeAllConnections();
     server?.close();
   }
 
-  /** Starts it again at its address. */
+  /** Starts a stopped upstream again at its address. */
   public async reopenUpstream(address: string, answer: Answer): Promise<void> {
     await this.listen(Number(address.split(':')[1]), answer);
   }
 
-  /** Makes a call and gives its answer; a connection that breaks is an error. */
+  /** Makes a call and returns its answer; rejects if the connection breaks. */
   public call(
     target: string,
     headers: http.OutgoingHttpHeaders = {},
@@ -249,7 +249,7 @@
     return address;
   }
 
-  /** Lets every caller leave. */
+  /** Disconnects every caller. */
   public disconnectCallers(): void {
     this.open.forEach((req) => req.destroy());
   }
@@ -317,7 +317,7 @@
   }
 }
 
-/** A configuration with one route for plain calls, one for calls that run once and one for generations. */
+/** Creates a configuration with routes for plain calls, for calls that may run once, and for long and short generations. */
 export function createConfig(version: number): schemas.RoutedConfig {
   const common = {
     host: 'site.example',
--- a/packages/gateway/tests/support/test-wire.ts
+++ b/packages/gateway/tests/support/test-wire.ts
@@ -4,7 +4,7 @@
 import type * as requests from '@bramleyridge/requests';
 import type * as schemas from '@bramleyridge/schemas';
 
-/** A wire of the tests' own: the smallest that has everything the ports ask for. */
+/** Minimal call protocol for tests that implements everything that the interface requires. */
 export class TestWire implements gateway.CallWire {
   public findRequestId(headers: http.IncomingHttpHeaders): string | undefined {
     return headers['call-id']?.toString();
@@ -59,14 +59,14 @@
   return copy.kind === 'kept' ? copy.backupAddress : `${copy.sourceAddress}/${copy.handle}`;
 }
 
-/** Orders to engines, kept for the test to look at. */
+/** Records the orders to engines for the test. */
 export class TestEngines implements gateway.EngineControl {
-  /** What the next orders are refused with, and which engines were asked for then. */
+  /** Results with which the next orders are refused, and the target engines of the refused orders. */
   public readonly refusals: ('no-room' | 'no-run')[] = [];
   public readonly refused: string[] = [];
   public readonly dropped: string[] = [];
   public readonly copies: gateway.KvCacheCopyOrder[] = [];
-  /** What the engine does besides, such as to stop the run. */
+  /** Additional effect of an accepted order on the engine, such as stopping the run. */
   public onCopy: (order: gateway.KvCacheCopyOrder) => void = () => {};
 
   public async copyKvCache(order: gateway.KvCacheCopyOrder): Promise<gateway.KvCacheCopyResult> {
@@ -86,14 +86,14 @@
   }
 }
 
-/** Documents that are the configuration itself as JSON. */
+/** Codec for documents that are the configuration as JSON. */
 export class TestCodec implements gateway.DocumentCodec {
   public decode(text: string): schemas.RoutedConfig {
     return JSON.parse(text) as schemas.RoutedConfig;
   }
 }
 
-/** A list of upstreams that the test sets. */
+/** List of upstreams that the test sets. */
 export class TestList implements gateway.UpstreamSource {
   public upstreams: schemas.ListedUpstream[] = [];
   public isDown = false;
@@ -102,7 +102,7 @@
   public async list(): Promise<gateway.ListReadResult> {
     this.calls += 1;
     if (this.isDown) {
-      throw new Error('the list is down');
+      throw new Error('the list is unavailable');
     }
     return Promise.resolve({ upstreams: [...this.upstreams], calls: 1, unreadable: 0 });
   }
--- a/packages/gateway/tests/update-poller.test.ts
+++ b/packages/gateway/tests/update-poller.test.ts
@@ -2,15 +2,15 @@
 import * as xoroshiro from 'pure-rand/generator/xoroshiro128plus';
 import * as tap from 'tap';
 
-import * as coreLinks from '../src/update-poller.js';
+import * as updatePollers from '../src/update-poller.js';
 import type * as coreMeshes from '../src/core-mesh.js';
 import type * as procedures from '../src/core-procedures.js';
 
-/** A link to one core host whose word the test sets; gives what the entry host was told to trust. */
+/** Creates a poller of one core host whose answers the test sets; collects the `isTrusted` flag of each answer. */
 function createLink(clock: schemas.VirtualClock, news: () => procedures.UpdatesRes) {
   const trusted: boolean[] = [];
   const api = { news: { mutate: async () => Promise.resolve(news()) } };
-  const link = new coreLinks.UpdatePoller({
+  const link = new updatePollers.UpdatePoller({
     mesh: { get: () => api } as unknown as coreMeshes.CoreMesh,
     listSeeds: () => ['127.0.1.1:1'],
     clock,
@@ -25,32 +25,39 @@
 }
 
 void tap.default.test(
-  'a host that has just started does not serve by the word of one that may be behind',
+  'a host that has just started does not serve with state that may be stale',
   async (t) => {
-    // The entry host has no disk and has forgotten what was in force. The core host that answers hears no leader, so
-    // what it has may be old; serving by it would undo an acknowledged change. After a while nothing better will
-    // come, as in a zone that is cut off, and the host serves what it can.
+    // The entry host has no disk, so it has no record of the version in force. The core host that answers has no contact
+    // to a leader, so its state may be stale, and serving with it would undo an acknowledged change. After a while, as in
+    // a partitioned zone, no newer state can be expected, and the host serves with what it has.
     const clock = new schemas.VirtualClock();
     let isCurrent = false;
     const { link, trusted } = createLink(clock, () => ({ isCurrent, cores: [] }));
     void link.run();
     await clock.advance(2_000);
-    t.ok(trusted.length > 0 && trusted.every((isTrusted) => !isTrusted), 'its word is not trusted');
+    t.ok(
+      trusted.length > 0 && trusted.every((isTrusted) => !isTrusted),
+      'its state is not trusted',
+    );
     await clock.advance(2_000);
-    t.equal(trusted.at(-1), true, 'until nothing better can be had');
+    t.equal(trusted.at(-1), true, 'until no newer state can be expected');
     link.stop();
 
     const second = createLink(clock, () => ({ isCurrent, cores: [] }));
     isCurrent = true;
     void second.link.run();
     await clock.advance(100);
-    t.equal(second.trusted[0], true, 'the word of one that hears the leader is enough at once');
+    t.equal(
+      second.trusted[0],
+      true,
+      'the state of a host with contact to the leader is trusted at once',
+    );
     second.link.stop();
     await clock.advance(1_000);
   },
 );
 
-/** Hosts that start at once, without a leader for a while, at core hosts that count their questions. */
+/** Starts hosts at the same time, without a leader at first, and counts the polls that core hosts receive. */
 async function playStart(hostCount: number, leaderlessMs: number) {
   const clock = new schemas.VirtualClock();
   const rng = xoroshiro.xoroshiro128plus(hostCount);
@@ -66,7 +73,7 @@
     },
   };
   const links = Array.from({ length: hostCount }, (_, i) => {
-    const link = new coreLinks.UpdatePoller({
+    const link = new updatePollers.UpdatePoller({
       mesh: { get: () => api } as unknown as coreMeshes.CoreMesh,
       listSeeds: () => ['c1:1', 'c2:1', 'c3:1'],
       clock,
@@ -91,11 +98,11 @@
   return { perHost, informed: [...state.informed.values()] };
 }
 
-// Guards against hundreds of hosts that ask a hundred times a second each while core hosts elect their leader.
+// Guards against hundreds of hosts that each poll a hundred times a second while the core hosts elect a leader.
 void tap.default.test('350 hosts that start at once do not flood the core hosts', async (t) => {
   const leaderlessMs = 1_500;
   const { informed, perHost } = await playStart(350, leaderlessMs);
-  t.ok(perHost <= 15, `${perHost.toFixed(1)} questions a host in ${leaderlessMs} ms`);
-  t.equal(informed.length, 350, 'every host hears of the leader');
-  t.ok(Math.max(...informed) - leaderlessMs <= 400, 'soon');
+  t.ok(perHost <= 15, `${perHost.toFixed(1)} polls per host in ${leaderlessMs} ms`);
+  t.equal(informed.length, 350, 'every host reaches the leader');
+  t.ok(Math.max(...informed) - leaderlessMs <= 400, 'within 400 ms of the election');
 });
