--- a/packages/gateway/src/core-host.ts
+++ b/packages/gateway/src/core-host.ts
@@ -86,7 +86,7 @@
       clock,
       log,
     });
-    const { coreId, coreRegistry, group, mesh } = this;
+    const { coreId, group, mesh, coreRegistry } = this;
     const leader = new leaderClients.LeaderClient({
       coreId,
       group,
@@ -153,7 +153,7 @@
       findService: (name) => this.findService(name),
       hasRuns: (service, engineId) => this.placement.hasRuns(service, engineId),
     });
-    const { entryRegistry, suspects, upstreamList } = this;
+    const { entryRegistry, upstreamList, suspects } = this;
     this.updates = new entryUpdateServices.EntryUpdateService({
       group,
       coreRegistry,
--- a/packages/gateway/src/entry-host.ts
+++ b/packages/gateway/src/entry-host.ts
@@ -246,13 +246,11 @@
       this.refuse(req, res, createStoppingRefusal());
       return;
     }
-    const endCall = this.drain.enter();
+    const done = this.drain.enter();
     void this.flow
       .handle(req, res)
       .catch((err: unknown) => this.refuse(req, res, err))
-      .finally(() =>
-        res.writableFinished || res.destroyed ? endCall() : res.once('close', endCall),
-      );
+      .finally(() => (res.writableFinished || res.destroyed ? done() : res.once('close', done)));
   }
 
   private refuse(req: http.IncomingMessage, res: http.ServerResponse, err: unknown): void {
--- a/packages/gateway/src/routed-attempts.ts
+++ b/packages/gateway/src/routed-attempts.ts
@@ -46,6 +46,8 @@
   answerStartedAt: number | undefined;
 }
 
+type Streamed = routedAnswers.StreamedAnswer;
+
 /** Runs the attempts of routed calls: each sends a call once, and resumes it elsewhere if its engine breaks off. */
 export class RoutedAttempts {
   private readonly migrations: migrationManagers.MigrationManager;
@@ -178,7 +180,7 @@
     attempt: Attempt,
     answer: requests.UpstreamAnswer,
     bytes: Buffer,
-  ): routedAnswers.StreamedAnswer {
+  ): Streamed {
     attempt.answerStartedAt = this.options.clock.now();
     if (generationCalls.wantsBackup(job.call)) {
       void this.migrations.run(job, attempt.run);
@@ -216,7 +218,7 @@
     job: routedJobs.RoutedJob,
     previous: Attempt,
     lastEventId: string | undefined,
-  ): Promise<routedAnswers.StreamedAnswer | undefined> {
+  ): Promise<Streamed | undefined> {
     const { log, metrics } = this.options;
     await previous.run.finalBackup;
     const next = await this.chooseNext(job, previous);
