--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -73,7 +73,7 @@
   /** Orders an engine to copy a generation's KV cache to another engine. */
   copyKvCache(order: KvCacheCopyOrder, signal: AbortSignal): Promise<KvCacheCopyResult>;
   /** Orders an engine to release a copy made on request, at both engines. */
-  dropKvCache(runner: string, handle: string, signal: AbortSignal): Promise<void>;
+  dropKvCache(sourceAddress: string, handle: string, signal: AbortSignal): Promise<void>;
 }
 
 /** What an upstream reports about itself along with an answer. */
--- a/packages/gateway/tests/membership-losses.test.ts
+++ b/packages/gateway/tests/membership-losses.test.ts
@@ -49,7 +49,7 @@
 }
 
 /** Chooses the hosts to lose at once, with or without the leader; replacements are chosen last. */
-function chooseVictims(site: Site, count: number, isLeaderLost: boolean): string[] {
+function chooseHosts(site: Site, count: number, isLeaderLost: boolean): string[] {
   const leader = site.findLeader();
   const others = site.listUp().filter((coreId) => coreId !== leader);
   return isLeaderLost
@@ -58,10 +58,10 @@
 }
 
 /** Kills hosts, then restarts them or starts their replacements. */
-async function lose(site: Site, victims: readonly string[], loss: Loss): Promise<void> {
-  victims.forEach((coreId) => site.kill(coreId));
+async function lose(site: Site, coreIds: readonly string[], loss: Loss): Promise<void> {
+  coreIds.forEach((coreId) => site.kill(coreId));
   await site.clock.advance(loss === 'wiped' ? WIPED_MS : STAND_IN_MS);
-  victims.forEach((coreId) => {
+  coreIds.forEach((coreId) => {
     if (loss === 'gone') {
       site.add(`${coreId}+`);
     } else {
@@ -108,7 +108,7 @@
   const startedAt = site.clock.now();
   const isAfter = (fields: Record<string, unknown>) =>
     site.lines.some((line) => line.fields === fields && line.at > startedAt);
-  await lose(site, chooseVictims(site, 1, false), loss);
+  await lose(site, chooseHosts(site, 1, false), loss);
   await site.clock.advance(12_000);
   const from = site.findAt((fields) => fields.decision === 'seat' && isAfter(fields)) ?? startedAt;
   const to = site.findAt((fields) => fields.event === 'seated' && isAfter(fields)) ?? from;
@@ -134,7 +134,7 @@
                 play: async () => {
                   const site = await startSite(deployment, 17 + afterMs);
                   for (let i = 0; i < 3; i += 1) {
-                    await lose(site, chooseVictims(site, lossesToBear, isLeaderLost), loss);
+                    await lose(site, chooseHosts(site, lossesToBear, isLeaderLost), loss);
                     await site.declare();
                     await site.clock.advance(CATCH_UP_MS + afterMs);
                   }
@@ -159,9 +159,9 @@
           name: `at ${at}`,
           play: async () => {
             const site = await startSite(deployment, 3);
-            const [victim] = chooseVictims(site, 1, false);
+            const [lostHost] = chooseHosts(site, 1, false);
             const former = new Set(site.listUp());
-            await lose(site, [victim!], 'gone');
+            await lose(site, [lostHost!], 'gone');
             await site.clock.advance(at - site.clock.now());
             site
               .listUp()
@@ -190,13 +190,13 @@
                 name: `at ${at}`,
                 play: async () => {
                   const site = await startSite(deployment, 5);
-                  await lose(site, chooseVictims(site, 1, false), loss);
+                  await lose(site, chooseHosts(site, 1, false), loss);
                   await site.clock.advance(at - site.clock.now());
-                  const victims = killed === 'all' ? site.listUp() : chooseVictims(site, 1, true);
-                  await lose(site, victims, 'killed');
+                  const coreIds = killed === 'all' ? site.listUp() : chooseHosts(site, 1, true);
+                  await lose(site, coreIds, 'killed');
                   await site.clock.advance(2 * CATCH_UP_MS);
                   await site.declare();
-                  await lose(site, chooseVictims(site, lossesToBear, false), 'gone');
+                  await lose(site, chooseHosts(site, lossesToBear, false), 'gone');
                   return site;
                 },
               };
--- a/packages/gateway/tests/membership-manager.test.ts
+++ b/packages/gateway/tests/membership-manager.test.ts
@@ -21,10 +21,10 @@
   for (const isLeader of [false, true]) {
     const site = await startSite(FOUR);
     const leader = site.findLeader()!;
-    const seated = site.listVoters();
-    const first = isLeader ? leader : seated.find((coreId) => coreId !== leader)!;
+    const voters = site.listVoters();
+    const first = isLeader ? leader : voters.find((coreId) => coreId !== leader)!;
     const tookMs = await site.stopHost(first);
-    const second = seated.find((coreId) => coreId !== first)!;
+    const second = voters.find((coreId) => coreId !== first)!;
     site.kill(second);
     const who = isLeader ? 'the leader' : 'a follower';
     t.ok(tookMs < 500, `${who} has stopped after ${Math.round(tookMs)} ms`);
@@ -105,9 +105,12 @@
   t.match(silent, { coreId: leader, fields: { silent: [one], lossesBorne: 0 } });
   site.kill(two);
   await site.clock.advance(20_000);
-  const told = site.lines.filter(({ fields }) => fields.event === 'no-majority');
-  t.ok(told.length >= 2 && told.length <= 4, `no majority is logged ${told.length} times in 20 s`);
-  t.match(told[0]!.fields, { granted: [leader] });
+  const logged = site.lines.filter(({ fields }) => fields.event === 'no-majority');
+  t.ok(
+    logged.length >= 2 && logged.length <= 4,
+    `no majority is logged ${logged.length} times in 20 s`,
+  );
+  t.match(logged[0]!.fields, { granted: [leader] });
   site.restart(one);
   t.ok(await isServing(site));
   site.stop();
@@ -137,13 +140,13 @@
     for (const which of [0, 1]) {
       const site = await startSite([...FOUR, 'e'], 11);
       const leader = site.findLeader()!;
-      const seated = site.listVoters();
-      const spares = site.listUp().filter((coreId) => !seated.includes(coreId));
+      const voters = site.listVoters();
+      const spares = site.listUp().filter((coreId) => !voters.includes(coreId));
       t.equal(spares.length, 2);
       const stuck = spares[which]!;
       site.hangDisk(stuck);
-      const [gone, other] = seated.filter((coreId) => coreId !== leader) as [string, string];
-      site.kill(gone);
+      const [lost, other] = voters.filter((coreId) => coreId !== leader) as [string, string];
+      site.kill(lost);
       await site.clock.advance(6_000);
       const fit = spares.find((coreId) => coreId !== stuck)!;
       t.ok(site.listVoters().includes(fit), `${fit} takes the slot because ${stuck} cannot`);
@@ -161,10 +164,10 @@
     // the slot would be empty for 2.7 s and more, and the next loss may occur 4 s after a replacement has started.
     for (let seed = 1; seed <= 6; seed += 1) {
       const site = await startSite(FOUR, seed);
-      const gone = site.findLeader()!;
+      const lost = site.findLeader()!;
       const lostAt = site.clock.now();
-      site.kill(gone);
-      while (site.findLeader() === undefined || site.listVoters().includes(gone)) {
+      site.kill(lost);
+      while (site.findLeader() === undefined || site.listVoters().includes(lost)) {
         await site.clock.advance(10);
       }
       const emptyMs = site.clock.now() - lostAt;
--- a/packages/gateway/tests/routed-calls.test.ts
+++ b/packages/gateway/tests/routed-calls.test.ts
@@ -26,12 +26,12 @@
 }
 
 /**
- * An engine's stream that sends events until it is ended. A silent one would be resumed from its copy after 1.5 s, which
+ * An engine's stream that sends events until it is ended. A silent one would be resumed from its backup after 1.5 s, which
  * on a busy machine may be before the event that the test waits for.
  */
 class TickingStream {
   public count = 0;
-  private end: (how: 'finish' | 'die') => void = () => {};
+  private end: (how: 'finish' | 'crash') => void = () => {};
 
   public serve(req: http.IncomingMessage, res: http.ServerResponse): void {
     res.writeHead(200, { 'call-id': req.headers['call-id'] });
@@ -58,8 +58,8 @@
   }
 
   /** Resets the stream's connection, like an engine that crashes. */
-  public die(): void {
-    this.end('die');
+  public crash(): void {
+    this.end('crash');
   }
 }
 
@@ -203,9 +203,9 @@
   // the generation after event 3, the last complete one.
   const site = await createSite(t);
   const resumedFrom: (string | undefined)[] = [];
-  const ranks: (string | undefined)[] = [];
+  const priorities: (string | undefined)[] = [];
   const serve = (req: http.IncomingMessage, res: http.ServerResponse) => {
-    ranks.push(req.headers.urgency?.toString());
+    priorities.push(req.headers.urgency?.toString());
     res.writeHead(200, { 'call-id': req.headers['call-id'], 'content-type': 'text/event-stream' });
     if (req.headers['resume-from'] === undefined) {
       res.write(`${event(1)}${event(2)}${event(3)}id: 4\nda`);
@@ -222,7 +222,7 @@
   t.equal(res.body, [1, 2, 3, 4, 5, 6].map(event).join(''));
   t.same(resumedFrom, ['3']);
   t.same(
-    ranks,
+    priorities,
     [undefined, undefined],
     'placed by the leader, it has no priority and preempts no other',
   );
@@ -251,7 +251,7 @@
   site.list.upstreams = site.list.upstreams.map((item) => ({ ...item, isLeaving: true }));
   await site.addUpstream('e-3', 'engines', serve);
   await site.until('stopped', () => site.lines.some((line) => line.decision === 'hand-over'));
-  stream.die();
+  stream.crash();
   const { body } = await answer;
   t.equal(body, listEvents(body.split('id: ').length - 1), 'each event once and in order');
   const [copy] = site.engines.copies;
@@ -276,13 +276,13 @@
     await declareAndList(site);
     const answer = site.call('/drafts/x', { tokens: '400' }, 'write').catch(() => 'left');
     await site.until('started', () => site.lines.some((line) => line.decision === 'route'));
-    const holder = await site.addUpstream('e-2', 'engines', serve);
+    const targetAddress = await site.addUpstream('e-2', 'engines', serve);
     const listLive = () => site.entry.directory.listLive('engines').map((item) => item.upstreamId);
     await site.until('listed', () => listLive().length === 2);
     site.reportLeaving.add(leaving);
     await site.until('excluded from new work', () => listLive().join() === 'e-2');
     await site.until('copied', () => site.lines.some((line) => line.decision === 'copy'));
-    t.equal(site.engines.copies[0]!.targetAddress, holder);
+    t.equal(site.engines.copies[0]!.targetAddress, targetAddress);
     site.disconnectCallers();
     await answer;
   },
@@ -321,7 +321,7 @@
   const site = await createSite(t);
   const stream = new TickingStream();
   const serve = (req: http.IncomingMessage, res: http.ServerResponse) => stream.serve(req, res);
-  const runner = await site.addUpstream('e-1', 'engines', serve);
+  const sourceAddress = await site.addUpstream('e-1', 'engines', serve);
   await declareAndList(site);
   const answer = site.call('/drafts/x', { tokens: '400' }, 'write');
   await site.until('started', () => site.lines.some((line) => line.decision === 'route'));
@@ -331,7 +331,7 @@
   stream.finish();
   t.equal((await answer).body, listEvents(stream.count));
   await site.until('released', () => site.engines.dropped.length > 0);
-  t.same(site.engines.dropped, [`${runner}/copy-2`], 'by the handle of the last copy');
+  t.same(site.engines.dropped, [`${sourceAddress}/copy-2`], 'by the handle of the last copy');
 });
 
 void tap.default.test('a run migrates from an engine that is leaving', async (t) => {
@@ -351,7 +351,7 @@
     resumed.push(req.headers['resume-from'].toString(), req.headers['last-event-id']?.toString());
     res.end(event(2));
   };
-  const runner = await site.addUpstream('e-1', 'engines', serve);
+  const sourceAddress = await site.addUpstream('e-1', 'engines', serve);
   await declareAndList(site);
   site.engines.onCopy = ({ isLast }) => {
     if (isLast) {
@@ -363,13 +363,13 @@
   await site.addUpstream('e-2', 'engines', serve);
   const listLive = () => site.entry.directory.listLive('engines').length;
   await site.until('listed', () => listLive() === 2);
-  site.reportLeaving.add(runner);
+  site.reportLeaving.add(sourceAddress);
   t.equal((await answer).body, event(1) + event(2));
-  t.same(resumed, [`${runner}/copy-2`, '1']);
+  t.same(resumed, [`${sourceAddress}/copy-2`, '1']);
 });
 
 void tap.default.test(
-  'a stream is resumed without a copy if its route allows another run',
+  'a stream is resumed without a backup if its route allows another run',
   async (t) => {
     // A short answer has no backup. Its engine crashes within event 2; the route allows a second run after the last complete
     // event, so another engine resumes. Where the route allows only one run, the caller's connection breaks.
@@ -534,8 +534,8 @@
   await declareAndList(site);
   await site.call('/plain/x', { 'call-id': 'good' });
   await site.call('/none/x', { 'call-id': 'nowhere' });
-  const drafted = site.call('/drafts/x', { 'call-id': 'cut', tokens: '400' }, 'write');
-  const ended = drafted.catch(() => 'cut');
+  const generation = site.call('/drafts/x', { 'call-id': 'cut', tokens: '400' }, 'write');
+  const ended = generation.catch(() => 'cut');
   // A reset that is received together with the event would end the attempt before its answer began.
   await site.until('started', async () =>
     /first_event_ms_count\{route="drafts"\} 1/.test(await site.metrics.render()),
--- a/packages/gateway/tests/support/core-site.ts
+++ b/packages/gateway/tests/support/core-site.ts
@@ -9,22 +9,22 @@
 import * as coreHostRegistries from '../../src/core-host-registry.js';
 
 /** Maximum latency of a message, in milliseconds. */
-const MAX_DELAY_MS = 3;
+const MAX_LATENCY_MS = 3;
 
 /** Deadline of a request between core hosts, in milliseconds. */
-const DEADLINE_MS = 500;
+const PEER_DEADLINE_MS = 500;
 
 /** Duration of a disk's sync, in milliseconds. */
 const SYNC_MS = 5;
 
 /** Time for which an operator retries until an acknowledgment, in milliseconds. */
-const OPERATOR_MS = 10_000;
+const OPERATOR_TIMEOUT_MS = 10_000;
 
 /** Delay before an operator's retry, in milliseconds. */
-const ASK_AGAIN_MS = 50;
+const OPERATOR_RETRY_MS = 50;
 
 /** Number of hosts that the settings of one host name. */
-const SEEDS = 3;
+const SEED_COUNT = 3;
 
 /** A log line with the time at which it was written. */
 export interface LogLine {
@@ -36,7 +36,7 @@
 interface Host {
   readonly coreId: string;
   readonly group: coreGroups.CoreGroup;
-  readonly greeter: coreDiscoveries.CoreDiscovery;
+  readonly discovery: coreDiscoveries.CoreDiscovery;
   readonly files: fakes.MemoryFiles;
   readonly disk: SlowFiles;
   isUp: boolean;
@@ -44,7 +44,7 @@
 
 /** A disk whose syncs take some time, so that changes occur between them; on a hanging disk they never end. */
 class SlowFiles implements consensus.FileStorage {
-  public isStuck = false;
+  public isHanging = false;
 
   public constructor(
     private readonly files: fakes.MemoryFiles,
@@ -74,7 +74,7 @@
   }
 
   private wait(): Promise<void> {
-    return this.isStuck ? new Promise(() => {}) : this.clock.sleep(SYNC_MS);
+    return this.isHanging ? new Promise(() => {}) : this.clock.sleep(SYNC_MS);
   }
 }
 
@@ -98,7 +98,7 @@
 
   /** Starts all hosts for the first time; the first three are the founders of the log. */
   public async start(coreIds: readonly string[]): Promise<void> {
-    this.founders = coreIds.slice(0, SEEDS);
+    this.founders = coreIds.slice(0, SEED_COUNT);
     coreIds.forEach((coreId) => this.startHost(coreId, new fakes.MemoryFiles(), this.founders));
     await this.clock.advance(4_000);
     await this.declare();
@@ -116,23 +116,23 @@
       return;
     }
     host.isUp = false;
-    host.greeter.stop();
+    host.discovery.stop();
     host.group.stop();
     host.files.crashAfter(0, 0);
   }
 
   /** Makes a host's disk hang from now on; the host itself continues. */
   public hangDisk(coreId: string): void {
-    this.hosts.get(coreId)!.disk.isStuck = true;
+    this.hosts.get(coreId)!.disk.isHanging = true;
   }
 
   /** Stops a host gracefully; returns the duration, in milliseconds. */
   public async stopHost(coreId: string): Promise<number> {
-    const { greeter, group } = this.hosts.get(coreId)!;
+    const { discovery, group } = this.hosts.get(coreId)!;
     const startedAt = this.clock.now();
     const done: number[] = [];
     void group.membership.leave().then(() => done.push(this.clock.now() - startedAt));
-    greeter.announceAll();
+    discovery.announceAll();
     while (done.length === 0) {
       await this.clock.advance(1);
     }
@@ -144,7 +144,7 @@
   public listVoters(): string[] {
     const leader = this.hosts.get(this.findLeader() ?? '');
     const voters = leader?.group.getVoter().entries.getVoters() ?? [];
-    return voters.map((seat) => seat.daemonId).sort();
+    return voters.map((slot) => slot.daemonId).sort();
   }
 
   /** Restarts a killed host, with its disk or with an empty one. */
@@ -167,7 +167,7 @@
   public async declare(): Promise<boolean> {
     this.version += 1;
     const { version } = this;
-    const result = await this.ask(async (group) => {
+    const result = await this.retryAtLeader(async (group) => {
       await group.getLeadership().propose({ version, text: `v${version}` });
       return true;
     });
@@ -179,7 +179,7 @@
 
   /** Orders the evacuation of a zone or its end; returns whether it was acknowledged in time. */
   public async evacuate(availabilityZone: string, isEvacuated: boolean): Promise<boolean> {
-    const result = await this.ask(async (group) => {
+    const result = await this.retryAtLeader(async (group) => {
       const expectedRevision = group.evacuations.get().revision;
       const entry = { evacuation: { availabilityZone, isEvacuated, expectedRevision } };
       await group.getLeadership().barrier();
@@ -194,7 +194,7 @@
 
   /** Reads the evacuated zones; `undefined` if no leader answers in time. */
   public readEvacuatedZones(): Promise<readonly string[] | undefined> {
-    return this.ask(async (group) => {
+    return this.retryAtLeader(async (group) => {
       await group.getLeadership().barrier();
       return group.evacuations.get().zones;
     });
@@ -208,15 +208,15 @@
 
   /** Reads the version in force; `undefined` if no leader answers in time. */
   public read(): Promise<number | undefined> {
-    return this.ask(async (group) => {
+    return this.retryAtLeader(async (group) => {
       await group.getLeadership().barrier();
       return group.state.get()?.version ?? 0;
     });
   }
 
   /** Returns the time of the first matching log line; `undefined` if there is none. */
-  public findAt(isIt: (fields: Record<string, unknown>) => boolean): number | undefined {
-    return this.lines.find(({ fields }) => isIt(fields))?.at;
+  public findAt(isMatch: (fields: Record<string, unknown>) => boolean): number | undefined {
+    return this.lines.find(({ fields }) => isMatch(fields))?.at;
   }
 
   /** Kills every host. */
@@ -225,8 +225,10 @@
   }
 
   /** Sends a request to the leader repeatedly while virtual time advances, until one succeeds. */
-  private async ask<T>(work: (group: coreGroups.CoreGroup) => Promise<T>): Promise<T | undefined> {
-    const end = this.clock.now() + OPERATOR_MS;
+  private async retryAtLeader<T>(
+    work: (group: coreGroups.CoreGroup) => Promise<T>,
+  ): Promise<T | undefined> {
+    const end = this.clock.now() + OPERATOR_TIMEOUT_MS;
     const answers: T[] = [];
     while (answers.length === 0 && this.clock.now() < end) {
       const leader = this.findLeader();
@@ -236,7 +238,7 @@
           () => {},
         );
       }
-      await this.clock.advance(ASK_AGAIN_MS);
+      await this.clock.advance(OPERATOR_RETRY_MS);
     }
     return answers[0];
   }
@@ -245,7 +247,7 @@
     const { clock } = this;
     const log = this.createLog(coreId);
     const disk = new SlowFiles(files, clock);
-    const table = new coreHostRegistries.CoreHostRegistry(coreId, clock);
+    const registry = new coreHostRegistries.CoreHostRegistry(coreId, clock);
     const mesh = this.createPeers(coreId);
     // A replacement is in the zone of the host that it replaces.
     const availabilityZone = coreId.charAt(0);
@@ -256,7 +258,7 @@
       voterSlotCount: 2 * this.lossesToBear + 1,
       openFiles: async () => Promise.resolve(disk),
       mesh,
-      registry: table,
+      registry,
       clock,
       log,
       random: () => this.random(),
@@ -264,20 +266,20 @@
     // A host's settings name hosts that run when the settings are written, not always the first ones: after three rounds
     // of losses none of those is left, and a host with only their names could reach no other.
     const others = this.listUp().filter((other) => other !== coreId);
-    const seeds = founders.length > 0 ? founders : others.slice(0, SEEDS);
+    const seeds = founders.length > 0 ? founders : others.slice(0, SEED_COUNT);
     const listSeeds = () => seeds;
-    const greeter = new coreDiscoveries.CoreDiscovery({
+    const discovery = new coreDiscoveries.CoreDiscovery({
       coreId,
       availabilityZone,
       group,
-      registry: table,
+      registry,
       mesh,
       listSeeds,
       clock,
       log,
     });
-    this.hosts.set(coreId, { coreId, group, greeter, files, disk, isUp: true });
-    void greeter.run();
+    this.hosts.set(coreId, { coreId, group, discovery, files, disk, isUp: true });
+    void discovery.run();
     void group.run();
   }
 
@@ -292,8 +294,8 @@
       snapshot: call(to, ({ group }, req: consensus.SnapshotReq) =>
         group.getVoter().handleSnapshot(req),
       ),
-      hello: call(to, ({ greeter }, req: Parameters<typeof greeter.handleHello>[0]) =>
-        greeter.handleHello(req),
+      hello: call(to, ({ discovery }, req: Parameters<typeof discovery.handleHello>[0]) =>
+        discovery.handleHello(req),
       ),
     });
     return { get: (to) => get(to) as unknown as coreMeshes.CoreApi };
@@ -302,7 +304,7 @@
   private async send<T>(from: string, to: string, handle: (host: Host) => Promise<T>): Promise<T> {
     const sender = this.hosts.get(from)!;
     const late = new AbortController();
-    const timeout = this.clock.sleep(DEADLINE_MS, late.signal).then(() => {
+    const timeout = this.clock.sleep(PEER_DEADLINE_MS, late.signal).then(() => {
       throw new Error('deadline');
     });
     try {
@@ -317,13 +319,13 @@
     to: string,
     handle: (host: Host) => Promise<T>,
   ): Promise<T> {
-    await this.clock.sleep(this.random() * MAX_DELAY_MS);
+    await this.clock.sleep(this.random() * MAX_LATENCY_MS);
     const host = this.hosts.get(to);
     if (host === undefined || !areUp(host, sender)) {
       return new Promise(() => {});
     }
     const answer = await handle(host);
-    await this.clock.sleep(this.random() * MAX_DELAY_MS);
+    await this.clock.sleep(this.random() * MAX_LATENCY_MS);
     return areUp(host, sender) ? answer : new Promise(() => {});
   }
 
--- a/packages/gateway/tests/support/test-wire.ts
+++ b/packages/gateway/tests/support/test-wire.ts
@@ -28,15 +28,15 @@
     call: gateway.CallFacts,
     attempt: gateway.AttemptFacts,
   ): Record<string, string | string[]> {
-    const { backupAddress: copyHolder, resume, team, upstreamId, priority: urgency } = attempt;
+    const { backupAddress, resume, team, upstreamId, priority } = attempt;
     return {
       ...call.forwardedHeaders,
       'meant-for': upstreamId,
       'left-ms': String(Math.floor(attempt.remainingMs)),
       ...(team === undefined ? {} : { team }),
-      ...(urgency === undefined ? {} : { urgency: String(urgency) }),
-      ...(copyHolder === undefined ? {} : { 'copy-at': copyHolder }),
-      ...(resume?.copy === undefined ? {} : { 'resume-from': describeCopy(resume.copy) }),
+      ...(priority === undefined ? {} : { urgency: String(priority) }),
+      ...(backupAddress === undefined ? {} : { 'copy-at': backupAddress }),
+      ...(resume?.copy === undefined ? {} : { 'resume-from': formatReference(resume.copy) }),
       ...(resume?.lastEventId === undefined ? {} : { 'last-event-id': resume.lastEventId }),
     };
   }
@@ -55,8 +55,10 @@
   }
 }
 
-function describeCopy(copy: gateway.KvCacheReference): string {
-  return copy.kind === 'kept' ? copy.backupAddress : `${copy.sourceAddress}/${copy.handle}`;
+function formatReference(reference: gateway.KvCacheReference): string {
+  return reference.kind === 'kept'
+    ? reference.backupAddress
+    : `${reference.sourceAddress}/${reference.handle}`;
 }
 
 /** Records the orders to engines for the test. */
@@ -80,8 +82,8 @@
     return Promise.resolve({ kind: 'made', handle: `copy-${this.copies.length}` });
   }
 
-  public async dropKvCache(runner: string, handle: string): Promise<void> {
-    this.dropped.push(`${runner}/${handle}`);
+  public async dropKvCache(sourceAddress: string, handle: string): Promise<void> {
+    this.dropped.push(`${sourceAddress}/${handle}`);
     return Promise.resolve();
   }
 }
--- a/packages/gateway/tests/update-poller.test.ts
+++ b/packages/gateway/tests/update-poller.test.ts
@@ -7,21 +7,21 @@
 import type * as procedures from '../src/core-procedures.js';
 
 /** Creates a poller of one core host whose answers the test sets; collects the `isTrusted` flag of each answer. */
-function createLink(clock: schemas.VirtualClock, news: () => procedures.UpdatesRes) {
+function createPoller(clock: schemas.VirtualClock, answer: () => procedures.UpdatesRes) {
   const trusted: boolean[] = [];
-  const api = { news: { mutate: async () => Promise.resolve(news()) } };
-  const link = new updatePollers.UpdatePoller({
+  const api = { news: { mutate: async () => Promise.resolve(answer()) } };
+  const poller = new updatePollers.UpdatePoller({
     mesh: { get: () => api } as unknown as coreMeshes.CoreMesh,
     listSeeds: () => ['127.0.1.1:1'],
     clock,
     log: new schemas.SilentLog(),
     random: () => 0,
     createRequest: (waitMs) => ({ hostId: 'h', version: -1, listStamp: '', waitMs }),
-    onUpdates: (_news, isTrusted) => {
+    onUpdates: (_updates, isTrusted) => {
       trusted.push(isTrusted);
     },
   });
-  return { link, trusted };
+  return { poller, trusted };
 }
 
 void tap.default.test(
@@ -32,8 +32,8 @@
     // a partitioned zone, no newer state can be expected, and the host serves with what it has.
     const clock = new schemas.VirtualClock();
     let isCurrent = false;
-    const { link, trusted } = createLink(clock, () => ({ isCurrent, cores: [] }));
-    void link.run();
+    const { poller, trusted } = createPoller(clock, () => ({ isCurrent, cores: [] }));
+    void poller.run();
     await clock.advance(2_000);
     t.ok(
       trusted.length > 0 && trusted.every((isTrusted) => !isTrusted),
@@ -41,59 +41,59 @@
     );
     await clock.advance(2_000);
     t.equal(trusted.at(-1), true, 'until no newer state can be expected');
-    link.stop();
+    poller.stop();
 
-    const second = createLink(clock, () => ({ isCurrent, cores: [] }));
+    const second = createPoller(clock, () => ({ isCurrent, cores: [] }));
     isCurrent = true;
-    void second.link.run();
+    void second.poller.run();
     await clock.advance(100);
     t.equal(
       second.trusted[0],
       true,
       'the state of a host with contact to the leader is trusted at once',
     );
-    second.link.stop();
+    second.poller.stop();
     await clock.advance(1_000);
   },
 );
 
 /** Starts hosts at the same time, without a leader at first, and counts the polls that core hosts receive. */
-async function playStart(hostCount: number, leaderlessMs: number) {
+async function simulateStart(hostCount: number, leaderlessMs: number) {
   const clock = new schemas.VirtualClock();
   const rng = xoroshiro.xoroshiro128plus(hostCount);
   const random = () => (rng.next() >>> 0) / 2 ** 32;
-  const state = { questions: 0, informed: new Map<number, number>() };
+  const state = { polls: 0, informed: new Map<number, number>() };
   const api = {
     news: {
       mutate: async (): Promise<procedures.UpdatesRes> => {
-        state.questions += 1;
+        state.polls += 1;
         await clock.sleep(1);
         return { isCurrent: clock.now() >= leaderlessMs, leader: undefined, cores: [] };
       },
     },
   };
-  const links = Array.from({ length: hostCount }, (_, i) => {
-    const link = new updatePollers.UpdatePoller({
+  const pollers = Array.from({ length: hostCount }, (_, i) => {
+    const poller = new updatePollers.UpdatePoller({
       mesh: { get: () => api } as unknown as coreMeshes.CoreMesh,
       listSeeds: () => ['c1:1', 'c2:1', 'c3:1'],
       clock,
       log: new schemas.SilentLog(),
       random,
       createRequest: (waitMs) => ({ hostId: `h${i}`, version: -1, listStamp: '', waitMs }),
-      onUpdates: (news) => {
-        if (news.isCurrent && !state.informed.has(i)) {
+      onUpdates: (updates) => {
+        if (updates.isCurrent && !state.informed.has(i)) {
           state.informed.set(i, clock.now());
-          link.stop();
+          poller.stop();
         }
       },
     });
-    void link.run();
-    return link;
+    void poller.run();
+    return poller;
   });
   await clock.advance(leaderlessMs);
-  const perHost = state.questions / hostCount;
+  const perHost = state.polls / hostCount;
   await clock.advance(600);
-  links.forEach((link) => link.stop());
+  pollers.forEach((poller) => poller.stop());
   await clock.advance(1_000);
   return { perHost, informed: [...state.informed.values()] };
 }
@@ -101,7 +101,7 @@
 // Guards against hundreds of hosts that each poll a hundred times a second while the core hosts elect a leader.
 void tap.default.test('350 hosts that start at once do not flood the core hosts', async (t) => {
   const leaderlessMs = 1_500;
-  const { informed, perHost } = await playStart(350, leaderlessMs);
+  const { informed, perHost } = await simulateStart(350, leaderlessMs);
   t.ok(perHost <= 15, `${perHost.toFixed(1)} polls per host in ${leaderlessMs} ms`);
   t.equal(informed.length, 350, 'every host reaches the leader');
   t.ok(Math.max(...informed) - leaderlessMs <= 400, 'within 400 ms of the election');
