--- a/packages/gateway/src/core-group.ts
+++ b/packages/gateway/src/core-group.ts
@@ -43,7 +43,9 @@
   readonly lastContactAt: number;
 }
 
-/** The declared document's fields with all other state beside them, so that hosts of the previous version can read it. */
+/**
+ * The declared document's fields with all other state beside them, so that hosts of the previous version can read it.
+ */
 interface CoreSnapshot extends Partial<intents.DeclaredDocument> {
   readonly quarantine?: readonly routing.SuspectFacts[];
   readonly evacuations?: intents.EvacuatedZones;
@@ -88,7 +90,10 @@
     this.voter?.stop();
   }
 
-  /** Returns the voter ID of this data folder and the founding voters if they are agreed; throws before the folder is open. */
+  /**
+   * Returns the voter ID of this data folder and the founding voters if they are agreed; throws before the folder is
+   * open.
+   */
   public getIdentity(): consensus.Genesis {
     if (this.identity === undefined) {
       throw new schemas.StepError({ id: 'notLeader', step: 'identity' });
--- a/packages/gateway/src/core-host-registry.ts
+++ b/packages/gateway/src/core-host-registry.ts
@@ -17,7 +17,10 @@
   readonly receivedAt: number;
 }
 
-/** Core hosts lastSeenAt to this one: names from the settings and from other core hosts, and announcements received here. */
+/**
+ * Core hosts lastSeenAt to this one: names from the settings and from other core hosts, and announcements received
+ * here.
+ */
 export class CoreHostRegistry {
   /** The leader as another core host named it; used by hosts that are no voters, which receive no heartbeats. */
   public leaderHint: string | undefined;
--- a/packages/gateway/src/core-host.ts
+++ b/packages/gateway/src/core-host.ts
@@ -40,7 +40,10 @@
   readonly random: () => number;
 }
 
-/** A core host: replicates what operators declare, answers the polls of entry hosts and, as the leader, places generations. */
+/**
+ * A core host: replicates what operators declare, answers the polls of entry hosts and, as the leader, places
+ * generations.
+ */
 export class CoreHost {
   public readonly operatorService: operatorServices.OperatorService;
   public readonly evacuations: evacuationServices.EvacuationService;
@@ -197,7 +200,9 @@
     this.options.log.info({ event: 'started', role: 'core', peer: this.coreId });
   }
 
-  /** Leaves the voters if a spare host can take the slot, then stops all tasks; a leader is replaced by another host. */
+  /**
+   * Leaves the voters if a spare host can take the slot, then stops all tasks; a leader is replaced by another host.
+   */
   public async stop(): Promise<void> {
     this.options.log.info({ event: 'stopping', role: 'core', isLeading: this.group.isLeading() });
     const departure = this.group.membership.leave();
@@ -248,7 +253,9 @@
     };
   }
 
-  /** Places a generation. Only the leader tracks placements; entry hosts register running generations with a new leader. */
+  /**
+   * Places a generation. Only the leader tracks placements; entry hosts register running generations with a new leader.
+   */
   private async place(req: procedures.PlaceReq): Promise<procedures.PlaceRes> {
     this.ensureLeading('place');
     const res = await this.placement.place(req);
--- a/packages/gateway/src/core-procedures.ts
+++ b/packages/gateway/src/core-procedures.ts
@@ -138,7 +138,10 @@
   entryHosts: z.int().optional(),
   suspects: suspectUpdates.optional(),
   evacuations: intents.evacuatedZones.optional(),
-  /** The quarantine from the log, for a host that has had no contact to a leader yet and polls a core host that doesn't lead. */
+  /**
+   * The quarantine from the log, for a host that has had no contact to a leader yet and polls a core host that doesn't
+   * lead.
+   */
   quarantined: z.array(routing.suspectFacts).readonly().optional(),
 });
 
--- a/packages/gateway/src/entry-host.ts
+++ b/packages/gateway/src/entry-host.ts
@@ -39,8 +39,8 @@
 const ASSUMED_ENTRY_HOSTS = 16;
 
 /**
- * Time for which the load balancer may still send new connections after readinessListener fails, in milliseconds: it probes
- * once a second and removes a host after two failures.
+ * Time for which the load balancer may still send new connections after readinessListener fails, in milliseconds: it
+ * probes once a second and removes a host after two failures.
  */
 const BALANCER_LAG_MS = 3_000;
 
--- a/packages/gateway/src/entry-update-service.ts
+++ b/packages/gateway/src/entry-update-service.ts
@@ -28,7 +28,9 @@
   readonly clock: schemas.Clock;
 }
 
-/** Answers the polls of entry hosts: any core host sends what the log holds, the leader also its state outside the log. */
+/**
+ * Answers the polls of entry hosts: any core host sends what the log holds, the leader also its state outside the log.
+ */
 export class EntryUpdateService {
   private readonly leadershipLost = new schemas.ChangeSignal();
   private isStopped = false;
--- a/packages/gateway/src/membership-manager.ts
+++ b/packages/gateway/src/membership-manager.ts
@@ -7,12 +7,12 @@
 const CHECK_INTERVAL_MS = 300;
 
 /**
- * Time for which a voter may be silent before a spare host replaces it, in milliseconds. A host that is lost permanently
- * no longer counts as lost 4 s after its replacement has started, so by then the replacement must be a voter: 1.5 s of
- * silence, 0.3 s until the next check and under 0.1 s for the membership change leave two seconds for an election in
- * between. A killed process is back after 1 to 1.5 s. Replacing a host that returns costs a snapshot of 100 KB and two log
- * entries, and the host becomes a spare; waiting for one that does not return leaves the group with no loss to tolerate.
- * In the logs of running deployments, a slot is filled 1.6 to 1.7 s after its voter was lost.
+ * Time for which a voter may be silent before a spare host replaces it, in milliseconds. A host that is lost
+ * permanently no longer counts as lost 4 s after its replacement has started, so by then the replacement must be a
+ * voter: 1.5 s of silence, 0.3 s until the next check and under 0.1 s for the membership change leave two seconds for
+ * an election in between. A killed process is back after 1 to 1.5 s. Replacing a host that returns costs a snapshot of
+ * 100 KB and two log entries, and the host becomes a spare; waiting for one that does not return leaves the group with
+ * no loss to tolerate. In the logs of running deployments, a slot is filled 1.6 to 1.7 s after its voter was lost.
  */
 const REPLACE_AFTER_MS = 1_500;
 
@@ -23,8 +23,9 @@
 const SKIP_FAILED_MS = 1_000;
 
 /**
- * Time for which a stopping host waits until another host has its voter slot, in milliseconds. A membership change takes
- * under 0.1 s, and a new voter that is silent is given up after 1.2 s; deployments allow 8 s before a process is killed.
+ * Time for which a stopping host waits until another host has its voter slot, in milliseconds. A membership change
+ * takes under 0.1 s, and a new voter that is silent is given up after 1.2 s; deployments allow 8 s before a process is
+ * killed.
  */
 const LEAVE_TIMEOUT_MS = 2_500;
 
@@ -44,7 +45,9 @@
   readonly log: schemas.Log;
 }
 
-/** On the leader, replaces voters that are lost or leaving by spare hosts; on any host, leaves the voters before a stop. */
+/**
+ * On the leader, replaces voters that are lost or leaving by spare hosts; on any host, leaves the voters before a stop.
+ */
 export class MembershipManager {
   /** Whether this host is about to stop and must not become or stay a voter. */
   public isLeaving = false;
@@ -69,8 +72,8 @@
   }
 
   /**
-   * Waits until this host is no longer a voter, as long as a spare can take its slot. A host that stopped as a voter would
-   * count as lost until it is back or replaced, and another loss could occur before that.
+   * Waits until this host is no longer a voter, as long as a spare can take its slot. A host that stopped as a voter
+   * would count as lost until it is back or replaced, and another loss could occur before that.
    */
   public async leave(): Promise<void> {
     const { clock, log } = this.options;
@@ -99,7 +102,10 @@
     return this.options.registry.listCandidates().filter((host) => host.silentMs <= LIVE_MS);
   }
 
-  /** Logs silent voters and the losses still tolerated: each silent voter lowers that number, which operators need first. */
+  /**
+   * Logs silent voters and the losses still tolerated: each silent voter lowers that number, which operators need
+   * first.
+   */
   private logSilentVoters(leadership: consensus.Leadership): void {
     const silent = leadership.listLaggingVoters().map((slot) => slot.daemonId);
     if (silent.join() === this.loggedSilent) {
@@ -173,9 +179,9 @@
   }
 
   /**
-   * Returns the time for which a voter has not withSilence new entries, in milliseconds. A newly elected leader has no answer yet
-   * from a voter that was lost before the election, but may have its last announcement; without it, the duration of the
-   * election would not count.
+   * Returns the time for which a voter has not withSilence new entries, in milliseconds. A newly elected leader has no
+   * answer yet from a voter that was lost before the election, but may have its last announcement; without it, the
+   * duration of the election would not count.
    */
   private getSilentMs(
     leadership: consensus.Leadership,
@@ -194,8 +200,8 @@
 
 /**
  * Whether the group still needs this voter. The remaining voters may not be able to finish a membership change that is
- * only in this voter's log or still in progress: a leader that stopped at that moment left them with four voters, two of
- * which were lost.
+ * only in this voter's log or still in progress: a leader that stopped at that moment left them with four voters, two
+ * of which were lost.
  */
 function isNeeded(voter: consensus.Voter): boolean {
   const { former = [], seats: slots } = voter.entries.getVoterSetAt(voter.commitIndex);
--- a/packages/gateway/src/routed-attempts.ts
+++ b/packages/gateway/src/routed-attempts.ts
@@ -133,7 +133,8 @@
       backupAddress: attempt.picked.backupEngine?.listed.address,
       resume,
     });
-    // A stream gets a connection of its own: a kept-alive connection may be dead, and a silent stream would not show it.
+    // A stream gets a connection of its own: a kept-alive connection may be dead, and a silent stream would not show
+    // it.
     const isRepeatable = isIdempotent(call) && !call.route.isStream;
     const { method, path } = call;
     return client.open(
@@ -265,7 +266,10 @@
     this.options.guard.recordOutcome(job, createGuardedRun(attempt), end);
   }
 
-  /** Ends a run whose answer was streamed. A run stopped for a migration or by its caller's leaving shows nothing about the call. */
+  /**
+   * Ends a run whose answer was streamed. A run stopped for a migration or by its caller's leaving shows nothing about
+   * the call.
+   */
   private endStreamed(job: routedJobs.RoutedJob, attempt: Attempt, hasFailed: boolean): void {
     attempt.release(hasFailed);
     const isStoppedHere = attempt.run.finalBackup !== undefined || job.abort.signal.aborted;
--- a/packages/gateway/src/update-poller.ts
+++ b/packages/gateway/src/update-poller.ts
@@ -18,8 +18,8 @@
 
 /**
  * Bounds of the backoff after a poll that failed or that was answered by a host without a leader, in milliseconds. The
- * backoff doubles up to the maximum and is jittered: after a power loss of all hosts, hundreds of them look for a leader
- * at once.
+ * backoff doubles up to the maximum and is jittered: after a power loss of all hosts, hundreds of them look for a
+ * leader at once.
  */
 const MIN_BACKOFF_MS = 25;
 const MAX_BACKOFF_MS = 250;
--- a/packages/gateway/tests/declare.test.ts
+++ b/packages/gateway/tests/declare.test.ts
@@ -3,9 +3,9 @@
 import * as sites from './support/small-site.js';
 
 void tap.default.test('declared documents outlast losses of hosts', async (t) => {
-  // Three core hosts found the log, and a fourth is a spare. Any of them acknowledges the operator's documents while one
-  // host is down and while one returns with an empty disk, and the entry host applies each of them soon after. An older
-  // document that is sent again changes nothing.
+  // Three core hosts found the log, and a fourth is a spare. Any of them acknowledges the operator's documents while
+  // one host is down and while one returns with an empty disk, and the entry host applies each of them soon after. An
+  // older document that is sent again changes nothing.
   const site = new sites.SmallSite(t);
   await site.start(4);
   await site.declare({});
--- a/packages/gateway/tests/membership-losses.test.ts
+++ b/packages/gateway/tests/membership-losses.test.ts
@@ -3,13 +3,13 @@
 import * as coreSites from './support/core-site.js';
 
 // Guards against the loss of the majority although never more hosts are lost at once than the deployment tolerates: an
-// acknowledged configuration could not be read back, and callers were refused everywhere.
-// A core host was lost permanently, and an empty one with another address replaced it a second later. The replacement
-// became a voter only 8 s after the loss: its log was empty until 6.9 s after its start, and it then counted itself as a
-// voter. The next host was lost 7 s after the first, so two of three voters were lost permanently. The membership change
-// was in progress, with four voters in the log, two of them lost, and no leader could be elected from then on.
-// The cause was a membership change that started late and that needs more votes while it is in progress than before or
-// after it. The cases below lose a host at each moment of a change; the log tolerates the loss before and after it.
+// acknowledged configuration could not be read back, and callers were refused everywhere. A core host was lost
+// permanently, and an empty one with another address replaced it a second later. The replacement became a voter only 8
+// s after the loss: its log was empty until 6.9 s after its start, and it then counted itself as a voter. The next host
+// was lost 7 s after the first, so two of three voters were lost permanently. The membership change was in progress,
+// with four voters in the log, two of them lost, and no leader could be elected from then on. The cause was a
+// membership change that started late and that needs more votes while it is in progress than before or after it. The
+// cases below lose a host at each moment of a change; the log tolerates the loss before and after it.
 
 /** Time that a new or returned host has before the next one may be lost, in milliseconds. */
 const CATCH_UP_MS = 4_000;
@@ -70,7 +70,10 @@
   });
 }
 
-/** Returns the fault that an operator finds at the end: none if acknowledged state is read back and a change is acknowledged. */
+/**
+ * Returns the fault that an operator finds at the end: none if acknowledged state is read back and a change is
+ * acknowledged.
+ */
 async function findFault(site: Site): Promise<string | undefined> {
   const before = site.acknowledged;
   const read = await site.read();
@@ -98,7 +101,9 @@
   return Array.from({ length: Math.floor((to - from) / step) + 1 }, (_, i) => from + i * step);
 }
 
-/** Finds the start and end of the membership change after a loss, on the virtual clock with this seed, with a margin. */
+/**
+ * Finds the start and end of the membership change after a loss, on the virtual clock with this seed, with a margin.
+ */
 async function findChange(
   deployment: Deployment,
   seed: number,
@@ -150,8 +155,9 @@
   );
 
   void tap.default.test(`${title}: a replacement is lost while it becomes a voter`, async (t) => {
-    // One host is lost permanently, and all other voters stay. The replacement is lost permanently too, at any step of the
-    // membership change. Without the change that would be no loss of a voter, so the group must tolerate it during one.
+    // One host is lost permanently, and all other voters stay. The replacement is lost permanently too, at any step of
+    // the membership change. Without the change that would be no loss of a voter, so the group must tolerate it during
+    // one.
     const [from, to] = await findChange(deployment, 3, 'gone');
     function* listCases() {
       for (const at of range(from, to, STEP_MS)) {
@@ -180,9 +186,9 @@
       void tap.default.test(
         `${title}, ${loss}: ${killed} killed during a membership change`,
         async (t) => {
-          // A host is lost or has lost its disk. At any step of the membership change the leader, or every host, is killed and
-          // returns a second later with its disk. The leader elected then must finish the change: once all hosts have had
-          // their time, as many are lost again as the deployment tolerates.
+          // A host is lost or has lost its disk. At any step of the membership change the leader, or every host, is
+          // killed and returns a second later with its disk. The leader elected then must finish the change: once all
+          // hosts have had their time, as many are lost again as the deployment tolerates.
           const [from, to] = await findChange(deployment, 5, loss);
           function* listCases() {
             for (const at of range(from, to, STEP_MS)) {
--- a/packages/gateway/tests/membership-manager.test.ts
+++ b/packages/gateway/tests/membership-manager.test.ts
@@ -16,8 +16,8 @@
 }
 
 void tap.default.test('a host that is to stop leaves the voters first', async (t) => {
-  // Guards against the loss of the configuration after a planned stop: the host stopped as a voter, and the next host was
-  // lost before a spare had replaced it. Here the next host is lost at the moment at which the process ends.
+  // Guards against the loss of the configuration after a planned stop: the host stopped as a voter, and the next host
+  // was lost before a spare had replaced it. Here the next host is lost at the moment at which the process ends.
   for (const isLeader of [false, true]) {
     const site = await startSite(FOUR);
     const leader = site.findLeader()!;
@@ -46,7 +46,8 @@
 });
 
 void tap.default.test('a host that no spare can replace in time stops all the same', async (t) => {
-  // The other hosts are unreachable, so there is no majority for the change. The process is killed after 8 s in any case.
+  // The other hosts are unreachable, so there is no majority for the change. The process is killed after 8 s in any
+  // case.
   const site = await startSite(FOUR);
   const leader = site.findLeader()!;
   site
--- a/packages/gateway/tests/routed-calls.test.ts
+++ b/packages/gateway/tests/routed-calls.test.ts
@@ -26,8 +26,8 @@
 }
 
 /**
- * An engine's stream that sends events until it is ended. A silent one would be resumed from its backup after 1.5 s, which
- * on a busy machine may be before the event that the test waits for.
+ * An engine's stream that sends events until it is ended. A silent one would be resumed from its backup after 1.5 s,
+ * which on a busy machine may be before the event that the test waits for.
  */
 class TickingStream {
   public count = 0;
@@ -184,8 +184,8 @@
 void tap.default.test(
   'one refused connection does not exclude the last upstream of a service',
   async (t) => {
-    // The upstream restarts: one call finds its port closed and is refused as not run. The next one, half a second later,
-    // is served, although the list and the upstream's name are still the same.
+    // The upstream restarts: one call finds its port closed and is refused as not run. The next one, half a second
+    // later, is served, although the list and the upstream's name are still the same.
     const site = await createSite(t);
     const address = await site.addUpstream('app-1', 'app', (req, res) =>
       reply(req, res, 200, 'ok'),
@@ -229,8 +229,8 @@
 });
 
 void tap.default.test('a stream whose backup engine leaves gets another copy', async (t) => {
-  // The backup engine and the engine that runs the stream both leave. The KV cache is copied to a third engine and the run
-  // is stopped; when the running engine crashes, the stream is resumed from the last copy.
+  // The backup engine and the engine that runs the stream both leave. The KV cache is copied to a third engine and the
+  // run is stopped; when the running engine crashes, the stream is resumed from the last copy.
   const site = await createSite(t);
   let resumedFrom: string | undefined;
   const stream = new TickingStream();
@@ -265,8 +265,8 @@
 void tap.default.test(
   'an engine that reports that it is leaving is evacuated before the list shows it',
   async (t) => {
-    // The engine has two seconds after its notice, and the list lags by a second. Its run's KV cache is copied at once, and
-    // it gets no new work; here the list never changes.
+    // The engine has two seconds after its notice, and the list lags by a second. Its run's KV cache is copied at once,
+    // and it gets no new work; here the list never changes.
     const site = await createSite(t);
     const serve = (req: http.IncomingMessage, res: http.ServerResponse) => {
       res.writeHead(200, { 'call-id': req.headers['call-id'] });
@@ -291,8 +291,8 @@
 void tap.default.test(
   'a copy is made to an engine with capacity, once the run has begun',
   async (t) => {
-    // An engine is leaving. At first it has not begun the run, which is no reason to choose another target engine; then the
-    // target engine has no capacity, and another one takes the copy before the leaving engine has stopped.
+    // An engine is leaving. At first it has not begun the run, which is no reason to choose another target engine; then
+    // the target engine has no capacity, and another one takes the copy before the leaving engine has stopped.
     const site = await createSite(t);
     const serve = (req: http.IncomingMessage, res: http.ServerResponse) => {
       res.writeHead(200, { 'call-id': req.headers['call-id'] });
@@ -316,8 +316,8 @@
 );
 
 void tap.default.test('a copy made for a migration and not needed is released', async (t) => {
-  // An engine is leaving and its run's KV cache is copied, but the run ends before the engine has stopped. The copy would
-  // take the memory of another long generation for five more seconds, even when all capacity is needed.
+  // An engine is leaving and its run's KV cache is copied, but the run ends before the engine has stopped. The copy
+  // would take the memory of another long generation for five more seconds, even when all capacity is needed.
   const site = await createSite(t);
   const stream = new TickingStream();
   const serve = (req: http.IncomingMessage, res: http.ServerResponse) => stream.serve(req, res);
@@ -336,8 +336,8 @@
 
 void tap.default.test('a run migrates from an engine that is leaving', async (t) => {
   // The engine reports that it is leaving. Its run's KV cache is copied while the stream continues; then the engine is
-  // ordered to stop the run, which truncates the stream, and the run is resumed at the other engine after the last event.
-  // The caller gets each event once, with a short gap.
+  // ordered to stop the run, which truncates the stream, and the run is resumed at the other engine after the last
+  // event. The caller gets each event once, with a short gap.
   const site = await createSite(t);
   const resumed: (string | undefined)[] = [];
   let stop = () => {};
@@ -371,8 +371,8 @@
 void tap.default.test(
   'a stream is resumed without a backup if its route allows another run',
   async (t) => {
-    // A short answer has no backup. Its engine crashes within event 2; the route allows a second run after the last complete
-    // event, so another engine resumes. Where the route allows only one run, the caller's connection breaks.
+    // A short answer has no backup. Its engine crashes within event 2; the route allows a second run after the last
+    // complete event, so another engine resumes. Where the route allows only one run, the caller's connection breaks.
     const site = await createSite(t);
     const resumedFrom: (string | undefined)[] = [];
     const serve = (req: http.IncomingMessage, res: http.ServerResponse) => {
@@ -396,8 +396,9 @@
 );
 
 void tap.default.test('a stream ends when its engine has restarted', async (t) => {
-  // The engine crashes behind a network partition and restarts under its name: the connection stays open and silent. The
-  // list shows the new start time. The run is lost, and the caller's stream ends at once instead of at its deadline.
+  // The engine crashes behind a network partition and restarts under its name: the connection stays open and silent.
+  // The list shows the new start time. The run is lost, and the caller's stream ends at once instead of at its
+  // deadline.
   const site = await createSite(t);
   const serve = (req: http.IncomingMessage, res: http.ServerResponse) => {
     res.writeHead(200, { 'call-id': req.headers['call-id'] });
@@ -497,8 +498,8 @@
 void tap.default.test(
   'late in a planned stop, new calls that could not finish are refused',
   async (t) => {
-    // The host is stopped while a long call runs. A caller with a kept-alive connection sends another call long after the
-    // load balancer has removed the host. That call is refused as not run, and the long one finishes.
+    // The host is stopped while a long call runs. A caller with a kept-alive connection sends another call long after
+    // the load balancer has removed the host. That call is refused as not run, and the long one finishes.
     const site = await createSite(t);
     const finish: (() => void)[] = [];
     await site.addUpstream('app-1', 'app', (req, res) => {
--- a/packages/gateway/tests/support/small-site.ts
+++ b/packages/gateway/tests/support/small-site.ts
@@ -317,7 +317,9 @@
   }
 }
 
-/** Creates a configuration with routes for plain calls, for calls that may run once, and for long and short generations. */
+/**
+ * Creates a configuration with routes for plain calls, for calls that may run once, and for long and short generations.
+ */
 export function createConfig(version: number): schemas.RoutedConfig {
   const common = {
     host: 'site.example',
--- a/packages/gateway/tests/update-poller.test.ts
+++ b/packages/gateway/tests/update-poller.test.ts
@@ -27,9 +27,9 @@
 void tap.default.test(
   'a host that has just started does not serve with state that may be stale',
   async (t) => {
-    // The entry host has no disk, so it has no record of the version in force. The core host that answers has no contact
-    // to a leader, so its state may be stale, and serving with it would undo an acknowledged change. After a while, as in
-    // a partitioned zone, no newer state can be expected, and the host serves with what it has.
+    // The entry host has no disk, so it has no record of the version in force. The core host that answers has no
+    // contact to a leader, so its state may be stale, and serving with it would undo an acknowledged change. After a
+    // while, as in a partitioned zone, no newer state can be expected, and the host serves with what it has.
     const clock = new schemas.VirtualClock();
     let isCurrent = false;
     const { poller, trusted } = createPoller(clock, () => ({ isCurrent, cores: [] }));
