--- a/packages/gateway/src/core-host-registry.ts
+++ b/packages/gateway/src/core-host-registry.ts
@@ -18,7 +18,7 @@
 }
 
 /**
- * Core hosts lastSeenAt to this one: names from the settings and from other core hosts, and announcements received
+ * Core hosts known to this one: names from the settings and from other core hosts, and announcements received
  * here.
  */
 export class CoreHostRegistry {
--- a/packages/gateway/src/entry-host.ts
+++ b/packages/gateway/src/entry-host.ts
@@ -39,7 +39,7 @@
 const ASSUMED_ENTRY_HOSTS = 16;
 
 /**
- * Time for which the load balancer may still send new connections after readinessListener fails, in milliseconds: it
+ * Time for which the load balancer may still send new connections after readiness fails, in milliseconds: it
  * probes once a second and removes a host after two failures.
  */
 const BALANCER_LAG_MS = 3_000;
@@ -57,7 +57,7 @@
   readonly codec: ports.DocumentCodec;
   readonly source: ports.UpstreamSource;
   readonly engines: ports.EngineControl;
-  /** Path of the load balancer's readinessListener probe. */
+  /** Path of the load balancer's readiness probe. */
   readonly readyPath: string;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
@@ -175,7 +175,7 @@
     this.registerGauges();
   }
 
-  /** Starts listening; calls are served as soon as a configuration is in force. Returns the callerListener' port. */
+  /** Starts listening; calls are served as soon as a configuration is in force. Returns the callers' port. */
   public async start(): Promise<number> {
     const settings = this.options.settings.get();
     void this.poller.run();
@@ -188,13 +188,13 @@
     return port;
   }
 
-  /** Whether the load balancer may send callerListener to this host. */
+  /** Whether the load balancer may send callers to this host. */
   public isReady(): boolean {
     const isStopping = this.drain.isDraining();
     return this.store.findTable() !== undefined && this.directory.hasList() && !isStopping;
   }
 
-  /** Stops gracefully: readinessListener fails first, and running calls finish. */
+  /** Stops gracefully: readiness fails first, and running calls finish. */
   public stop(): Promise<void> {
     this.stopping ??= this.stopGracefully();
     return this.stopping;
--- a/packages/gateway/src/membership-manager.ts
+++ b/packages/gateway/src/membership-manager.ts
@@ -179,7 +179,7 @@
   }
 
   /**
-   * Returns the time for which a voter has not withSilence new entries, in milliseconds. A newly elected leader has no
+   * Returns the time for which a voter has not held new entries, in milliseconds. A newly elected leader has no
    * answer yet from a voter that was lost before the election, but may have its last announcement; without it, the
    * duration of the election would not count.
    */
--- a/packages/gateway/tests/membership-losses.test.ts
+++ b/packages/gateway/tests/membership-losses.test.ts
@@ -3,22 +3,22 @@
 import * as coreSites from './support/core-site.js';
 
 // Guards against the loss of the majority although never more hosts are lost at once than the deployment tolerates: an
-// acknowledged configuration could not be read back, and callers were refused everywhere. A core host was lost
-// permanently, and an empty one with another address replaced it a second later. The replacement became a voter only 8
-// s after the loss: its log was empty until 6.9 s after its start, and it then counted itself as a voter. The next host
-// was lost 7 s after the first, so two of three voters were lost permanently. The membership change was in progress,
-// with four voters in the log, two of them lost, and no leader could be elected from then on. The cause was a
-// membership change that started late and that needs more votes while it is in progress than before or after it. The
-// cases below lose a host at each moment of a change; the log tolerates the loss before and after it.
+// acknowledged configuration could not be read back, and callers were refused everywhere. How it came about: a core
+// host was lost permanently, and an empty one with another address replaced it a second later. The replacement became a
+// voter only 8 s after the loss (its log was empty until 6.9 s after its start). The next host was lost 7 s after the
+// first, while the membership change was in progress: two of the four voters in the log were lost, and no leader could
+// be elected. Cause: a membership change that starts late, and that needs more votes while it is in progress than
+// before or after. The cases below lose hosts at each moment of a change, although the log tolerates the loss before
+// and after it.
 
 /** Time that a new or returned host has before the next one may be lost, in milliseconds. */
 const CATCH_UP_MS = 4_000;
 
 /** Time between the permanent loss of a host and the start of its replacement, in milliseconds. */
-const STAND_IN_MS = 1_000;
+const REPLACEMENT_DELAY_MS = 1_000;
 
 /** Downtime of a host whose disk was lost, in milliseconds. */
-const WIPED_MS = 2_000;
+const WIPED_DOWNTIME_MS = 2_000;
 
 /** Step between the moments that are tried during a membership change, in milliseconds; set it lower for a long run. */
 const STEP_MS = Number(process.env.SEAT_STEP_MS ?? 5);
@@ -60,7 +60,7 @@
 /** Kills hosts, then restarts them or starts their replacements. */
 async function lose(site: Site, coreIds: readonly string[], loss: Loss): Promise<void> {
   coreIds.forEach((coreId) => site.kill(coreId));
-  await site.clock.advance(loss === 'wiped' ? WIPED_MS : STAND_IN_MS);
+  await site.clock.advance(loss === 'wiped' ? WIPED_DOWNTIME_MS : REPLACEMENT_DELAY_MS);
   coreIds.forEach((coreId) => {
     if (loss === 'gone') {
       site.add(`${coreId}+`);
