--- a/packages/gateway/src/routed-attempts.ts
+++ b/packages/gateway/src/routed-attempts.ts
@@ -267,8 +267,8 @@
   }
 
   /**
-   * Ends a run whose answer was streamed. A run stopped for a migration or by its caller's leaving shows nothing about
-   * the call.
+   * Ends a run whose answer was streamed. A run stopped for a migration or because its caller has disconnected shows
+   * nothing about the call.
    */
   private endStreamed(job: routedJobs.RoutedJob, attempt: Attempt, hasFailed: boolean): void {
     attempt.release(hasFailed);
--- a/packages/gateway/tests/membership-losses.test.ts
+++ b/packages/gateway/tests/membership-losses.test.ts
@@ -3,13 +3,15 @@
 import * as coreSites from './support/core-site.js';
 
 // Guards against the loss of the majority although never more hosts are lost at once than the deployment tolerates: an
-// acknowledged configuration could not be read back, and callers were refused everywhere. How it came about: a core
-// host was lost permanently, and an empty one with another address replaced it a second later. The replacement became a
-// voter only 8 s after the loss (its log was empty until 6.9 s after its start). The next host was lost 7 s after the
-// first, while the membership change was in progress: two of the four voters in the log were lost, and no leader could
-// be elected. Cause: a membership change that starts late, and that needs more votes while it is in progress than
-// before or after. The cases below lose hosts at each moment of a change, although the log tolerates the loss before
-// and after it.
+// acknowledged configuration could not be read back, and callers were refused everywhere.
+//
+// A core host was lost permanently, and an empty one with another address replaced it a second later. The replacement
+// became a voter only 8 s after the loss; its log was empty until 6.9 s after its start. The next host was lost 7 s
+// after the first, while the membership change was in progress: two of the four voters in the log were lost, and no
+// leader could be elected.
+//
+// The cause was a membership change that starts late, and that needs more votes while it is in progress than before or
+// after it. The cases below lose hosts at each moment of a change; the log tolerates the loss before and after it.
 
 /** Time that a new or returned host has before the next one may be lost, in milliseconds. */
 const CATCH_UP_MS = 4_000;
--- a/packages/gateway/tests/routed-calls.test.ts
+++ b/packages/gateway/tests/routed-calls.test.ts
@@ -117,7 +117,7 @@
         { name: 'no such host', path: '/plain/x', headers: { host: 'other.example' }, status: 404 },
         { name: 'an unknown key', path: '/plain/x', headers: { key: 'stolen' }, status: 401 },
         {
-          name: 'too large headers',
+          name: 'headers that are too large',
           path: '/plain/x',
           headers: { a: 'b'.repeat(9_000) },
           status: 431,
@@ -127,7 +127,7 @@
         t2.equal((await site.call(path, headers)).status, status, name);
       }
       const large = await site.call('/plain/x', {}, 'x'.repeat(20_000));
-      t2.equal(large.status, 413, 'a too large body');
+      t2.equal(large.status, 413, 'a body that is too large');
     });
 
     await t.test('an upstream failure is returned unchanged if no retry is allowed', async (t2) => {
@@ -263,7 +263,7 @@
 });
 
 void tap.default.test(
-  'an engine that reports that it is leaving is evacuated before the list shows it',
+  'an engine that reports that it is leaving gets no new work before the list shows it',
   async (t) => {
     // The engine has two seconds after its notice, and the list lags by a second. Its run's KV cache is copied at once,
     // and it gets no new work; here the list never changes.
--- a/packages/gateway/tests/support/core-site.ts
+++ b/packages/gateway/tests/support/core-site.ts
@@ -263,8 +263,8 @@
       log,
       random: () => this.random(),
     });
-    // A host's settings name hosts that run when the settings are written, not always the first ones: after three
-    // rounds of losses none of those is left, and a host with only their names could reach no other.
+    // A host's settings name hosts that run when the settings are written, not always the first ones: in the third
+    // round of losses none of those is left, and a host with only their names could reach no other.
     const others = this.listUp().filter((other) => other !== coreId);
     const seeds = founders.length > 0 ? founders : others.slice(0, SEED_COUNT);
     const listSeeds = () => seeds;
