--- a/packages/gateway/tests/support/test-wire.ts
+++ b/packages/gateway/tests/support/test-wire.ts
@@ -4,7 +4,7 @@
 import type * as requests from '@bramleyridge/requests';
 import type * as schemas from '@bramleyridge/schemas';
 
-/** A wire of the tests' own: the smallest that has everything the ports ask for. */
+/** Minimal call protocol for tests that implements everything that the interface requires. */
 export class TestWire implements gateway.CallWire {
   public findRequestId(headers: http.IncomingHttpHeaders): string | undefined {
     return headers['call-id']?.toString();
@@ -28,15 +28,15 @@
     call: gateway.CallFacts,
     attempt: gateway.AttemptFacts,
   ): Record<string, string | string[]> {
-    const { backupAddress: copyHolder, resume, team, upstreamId, priority: urgency } = attempt;
+    const { backupAddress, resume, team, upstreamId, priority } = attempt;
     return {
       ...call.forwardedHeaders,
       'meant-for': upstreamId,
       'left-ms': String(Math.floor(attempt.remainingMs)),
       ...(team === undefined ? {} : { team }),
-      ...(urgency === undefined ? {} : { urgency: String(urgency) }),
-      ...(copyHolder === undefined ? {} : { 'copy-at': copyHolder }),
-      ...(resume?.copy === undefined ? {} : { 'resume-from': describeCopy(resume.copy) }),
+      ...(priority === undefined ? {} : { urgency: String(priority) }),
+      ...(backupAddress === undefined ? {} : { 'copy-at': backupAddress }),
+      ...(resume?.copy === undefined ? {} : { 'resume-from': formatReference(resume.copy) }),
       ...(resume?.lastEventId === undefined ? {} : { 'last-event-id': resume.lastEventId }),
     };
   }
@@ -55,18 +55,20 @@
   }
 }
 
-function describeCopy(copy: gateway.KvCacheReference): string {
-  return copy.kind === 'kept' ? copy.backupAddress : `${copy.sourceAddress}/${copy.handle}`;
+function formatReference(reference: gateway.KvCacheReference): string {
+  return reference.kind === 'kept'
+    ? reference.backupAddress
+    : `${reference.sourceAddress}/${reference.handle}`;
 }
 
-/** Orders to engines, kept for the test to look at. */
+/** Records the orders to engines for the test. */
 export class TestEngines implements gateway.EngineControl {
-  /** What the next orders are refused with, and which engines were asked for then. */
+  /** Results with which the next orders are refused, and the target engines of the refused orders. */
   public readonly refusals: ('no-room' | 'no-run')[] = [];
   public readonly refused: string[] = [];
   public readonly dropped: string[] = [];
   public readonly copies: gateway.KvCacheCopyOrder[] = [];
-  /** What the engine does besides, such as to stop the run. */
+  /** Additional effect of an accepted order on the engine, such as stopping the run. */
   public onCopy: (order: gateway.KvCacheCopyOrder) => void = () => {};
 
   public async copyKvCache(order: gateway.KvCacheCopyOrder): Promise<gateway.KvCacheCopyResult> {
@@ -80,20 +82,20 @@
     return Promise.resolve({ kind: 'made', handle: `copy-${this.copies.length}` });
   }
 
-  public async dropKvCache(runner: string, handle: string): Promise<void> {
-    this.dropped.push(`${runner}/${handle}`);
+  public async dropKvCache(sourceAddress: string, handle: string): Promise<void> {
+    this.dropped.push(`${sourceAddress}/${handle}`);
     return Promise.resolve();
   }
 }
 
-/** Documents that are the configuration itself as JSON. */
+/** Codec for documents that are the configuration as JSON. */
 export class TestCodec implements gateway.DocumentCodec {
   public decode(text: string): schemas.RoutedConfig {
     return JSON.parse(text) as schemas.RoutedConfig;
   }
 }
 
-/** A list of upstreams that the test sets. */
+/** List of upstreams that the test sets. */
 export class TestList implements gateway.UpstreamSource {
   public upstreams: schemas.ListedUpstream[] = [];
   public isDown = false;
@@ -102,7 +104,7 @@
   public async list(): Promise<gateway.ListReadResult> {
     this.calls += 1;
     if (this.isDown) {
-      throw new Error('the list is down');
+      throw new Error('the list is unavailable');
     }
     return Promise.resolve({ upstreams: [...this.upstreams], calls: 1, unreadable: 0 });
   }
