--- a/packages/gateway/src/abort-on-engine-restart.ts
+++ b/packages/gateway/src/abort-on-engine-restart.ts
@@ -1,29 +1,29 @@
 import type * as requests from '@bramleyridge/requests';
 import type * as schemas from '@bramleyridge/schemas';
 
-import type * as copyKeepers from './migration-manager.js';
+import type * as migrationManagers from './migration-manager.js';
 import type * as upstreamDirectories from './upstream-directory.js';
 
-/** How long a stream waits for a changed list before its engine is looked at all the same, in milliseconds. */
-const CHECK_MS = 2_000;
+/** Maximum pause between two checks of a stream's engine, in milliseconds; a changed list triggers a check earlier. */
+const CHECK_INTERVAL_MS = 2_000;
 
-/** What the watch needs. */
+/** Dependencies of the check. */
 export interface AbortOnEngineRestartOptions {
   readonly directory: upstreamDirectories.UpstreamDirectory;
   readonly clock: schemas.Clock;
 }
 
 /**
- * Ends a stream whose engine has started again: behind a cut its connection is silent, not reset, and the caller would
- * wait for events of a run that is gone.
+ * Aborts a stream whose engine has restarted. During a network partition its connection is silent instead of reset, and
+ * the caller would wait for events of a run that no longer exists.
  */
 export async function abortOnEngineRestart(
   { clock, directory }: AbortOnEngineRestartOptions,
-  run: copyKeepers.MigratableRun,
+  run: migrationManagers.MigratableRun,
   answer: requests.UpstreamAnswer,
 ): Promise<void> {
   while (run.isOpen) {
-    await directory.changed.wait(clock, CHECK_MS);
+    await directory.changed.wait(clock, CHECK_INTERVAL_MS);
     if (run.isOpen && directory.hasRestarted(run.engine)) {
       answer.body.destroy(new Error('the engine has started again'));
     }
--- a/packages/gateway/src/migration-manager.ts
+++ b/packages/gateway/src/migration-manager.ts
@@ -7,21 +7,24 @@
 import type * as upstreamPickers from './upstream-picker.js';
 
 /**
- * The pause after an answer that led to nothing, in milliseconds: the leader is lost for a moment, or an engine refused.
- * A leaving engine has one to two seconds.
+ * Pause after a migration attempt without a result, in milliseconds: the leader did not answer or the target engine
+ * refused. Short, because a leaving engine serves for only one to two seconds.
  */
-const RETRY_MS = 100;
+const RETRY_PAUSE_MS = 100;
 
-/** How long an engine may take over a copy, in milliseconds: 0.2 s for 0.5 GB, twice that across zones. */
-const COPY_MS = 2_500;
+/**
+ * Timeout for copying a KV cache, in milliseconds. Copying 0.5 GB takes 0.2 s, and twice that across availability
+ * zones.
+ */
+const COPY_TIMEOUT_MS = 2_500;
 
-/** The copy of a run, and at which engine. */
+/** A KV-cache backup of a run and the engine that holds it. */
 export interface KvCacheBackup {
   readonly at: upstreamDirectories.KnownUpstream;
   readonly reference: ports.KvCacheReference;
 }
 
-/** What the keeper needs. */
+/** Dependencies of the migration manager. */
 export interface MigrationManagerOptions {
   readonly engines: ports.EngineControl;
   readonly directory: upstreamDirectories.UpstreamDirectory;
@@ -31,112 +34,117 @@
   readonly log: schemas.Log;
 }
 
-/** A run that is to go on when its engine leaves. */
+/** A run that can continue on another engine when its own engine leaves. */
 export interface MigratableRun {
   readonly engine: upstreamDirectories.KnownUpstream;
   backup: KvCacheBackup | undefined;
   isOpen: boolean;
-  /** Whether it ended otherwise than well; its copy is needed then. */
+  /** Whether it ended with a failure; its backup is needed then. */
   hasFailed: boolean;
-  /** Whether the retry by which it goes on was taken already. */
+  /** Whether the retry that it needs to continue elsewhere has already been taken from the budget. */
   hasRetryGranted: boolean;
-  /** Settles when the last part of its copy is made; its stream has ended already. */
+  /**
+   * Settles when the run is stopped and the rest of its KV cache is copied; undefined before the stop is ordered. The
+   * stream may end before this settles.
+   */
   finalBackup: Promise<void> | undefined;
 }
 
 /**
- * Hands a long run over when the leader says so: its engine leaves, and no other engine keeps a copy. The memory is
- * copied while the run goes on, then the run is stopped, the little that was made meanwhile follows, and it goes on at
- * the other engine after a pause of a few events.
+ * Migrates a long run when the leader requests it, because its engine is leaving and no other engine holds a backup.
+ * Copies the KV cache while the run continues, then stops the run and copies the remainder, so that the run continues
+ * on the target engine after a pause of a few events.
  */
 export class MigrationManager {
   public constructor(private readonly options: MigrationManagerOptions) {}
 
-  /** Sees to it until the run is over. */
+  /** Serves migration requests for a run until it ends, then drops its backup if it is not needed. */
   public async run(job: routedJobs.RoutedJob, run: MigratableRun): Promise<void> {
     const { clock, picker } = this.options;
-    const full: string[] = [];
+    const fullEngineIds: string[] = [];
     while (run.isOpen && run.finalBackup === undefined) {
-      const { target: taker, isAnswered: wasAsked } = await picker.awaitMigrationTarget(
+      const { target, isAnswered } = await picker.awaitMigrationTarget(
         job.call,
         run.engine.upstreamId,
-        full,
+        fullEngineIds,
       );
-      if (taker !== undefined && run.isOpen) {
-        await this.handOver(job, run, taker, full);
-      } else if (!wasAsked) {
-        await clock.sleep(RETRY_MS);
+      if (target !== undefined && run.isOpen) {
+        await this.migrate(job, run, target, fullEngineIds);
+      } else if (!isAnswered) {
+        await clock.sleep(RETRY_PAUSE_MS);
       }
     }
     await run.finalBackup;
     while (run.isOpen) {
-      await clock.sleep(RETRY_MS);
+      await clock.sleep(RETRY_PAUSE_MS);
     }
-    await this.dropUnused(job, run);
+    await this.dropUnusedBackup(job, run);
   }
 
-  /** Copies the run and stops it; an engine without room is not asked again. */
-  private async handOver(
+  /** Copies the KV cache, then stops the run. An engine without capacity is excluded from further attempts. */
+  private async migrate(
     job: routedJobs.RoutedJob,
     run: MigratableRun,
-    at: upstreamDirectories.KnownUpstream,
-    full: string[],
+    target: upstreamDirectories.KnownUpstream,
+    fullEngineIds: string[],
   ): Promise<void> {
     const { clock, findBudget, log, picker } = this.options;
-    const kind = await this.copy(job, run, at);
-    // Going on counts as a retry. Without one the run is not stopped: it may yet end where it is.
-    const mayGoOn = kind === 'made' && (await findBudget(job.call.service.name).takeGranted());
-    if (mayGoOn) {
+    const result = await this.copyWhileRunning(job, run, target);
+    // Continuing elsewhere counts as a retry. Without one the run is not stopped, since it may still finish on its
+    // engine.
+    const mayContinue =
+      result === 'made' && (await findBudget(job.call.service.name).takeGranted());
+    if (mayContinue) {
       run.hasRetryGranted = true;
-      run.finalBackup = this.stop(job, run, at);
+      run.finalBackup = this.stopAndCopyRest(job, run, target);
       return;
     }
-    if (kind === 'no-room') {
-      full.push(at.upstreamId);
-    } else if (kind === 'made') {
+    if (result === 'no-room') {
+      fullEngineIds.push(target.upstreamId);
+    } else if (result === 'made') {
       const request = job.call.facts.requestId;
       log.warn({ decision: 'hand-over-refused', request, reason: 'retry-budget' });
     }
     picker.noteRun(job.call, 'turn-over');
-    await clock.sleep(RETRY_MS);
+    await clock.sleep(RETRY_PAUSE_MS);
   }
 
-  /** Frees a copy that was made on order when nothing will go on from it; its engine would keep it for 5 s and more. */
-  private async dropUnused(
+  /** Drops a copy that was ordered for a migration and will not be used; its engine would keep it for 5 s or more. */
+  private async dropUnusedBackup(
     job: routedJobs.RoutedJob,
-    { backup: copy, hasFailed }: MigratableRun,
+    { backup, hasFailed }: MigratableRun,
   ): Promise<void> {
-    const mayGoOn = hasFailed && !job.abort.signal.aborted;
-    if (mayGoOn || copy?.reference.kind !== 'ordered') {
+    const mayContinue = hasFailed && !job.abort.signal.aborted;
+    if (mayContinue || backup?.reference.kind !== 'ordered') {
       return;
     }
     const { engines, log } = this.options;
-    const { handle, sourceAddress: runner } = copy.reference;
+    const { handle, sourceAddress } = backup.reference;
     try {
-      await engines.dropKvCache(runner, handle, AbortSignal.timeout(COPY_MS));
+      await engines.dropKvCache(sourceAddress, handle, AbortSignal.timeout(COPY_TIMEOUT_MS));
     } catch (err) {
-      // The engine was leaving and may be gone, and the copy goes when its time is over.
+      // The engine was leaving and may be gone; the copy expires on its own.
       const { message } = schemas.toError(err);
       log.info({ decision: 'drop-failed', request: job.call.facts.requestId, err: message });
     }
   }
 
-  /** Has the memory of the run copied while it goes on. */
-  private async copy(
+  /** Orders a copy of the KV cache while the run continues. */
+  private async copyWhileRunning(
     job: routedJobs.RoutedJob,
     run: MigratableRun,
-    at: upstreamDirectories.KnownUpstream,
+    target: upstreamDirectories.KnownUpstream,
   ): Promise<ports.KvCacheCopyResult['kind']> {
     const { engines, log } = this.options;
-    const order = createOrder(job, run, at, false);
-    const { requestId: request, sourceAddress: runner } = order;
-    const details = { request, upstream: run.engine.upstreamId, copyAt: at.upstreamId };
+    const order = createOrder(job, run, target, false);
+    const { requestId: request, sourceAddress } = order;
+    const details = { request, upstream: run.engine.upstreamId, copyAt: target.upstreamId };
     try {
-      const result = await engines.copyKvCache(order, AbortSignal.timeout(COPY_MS));
+      const result = await engines.copyKvCache(order, AbortSignal.timeout(COPY_TIMEOUT_MS));
       if (result.kind === 'made') {
         run.backup = {
-          at,
-          reference: { kind: 'ordered', sourceAddress: runner, handle: result.handle },
+          at: target,
+          reference: { kind: 'ordered', sourceAddress, handle: result.handle },
         };
         log.info({ decision: 'copy', ...details });
       } else {
@@ -149,23 +157,27 @@
     }
   }
 
-  /** Stops the run and has the rest of its memory copied; where that fails the copy made before stands. */
-  private async stop(
+  /** Stops the run and orders a copy of the rest of its KV cache; if that fails, the earlier copy is used. */
+  private async stopAndCopyRest(
     job: routedJobs.RoutedJob,
     run: MigratableRun,
-    at: upstreamDirectories.KnownUpstream,
+    target: upstreamDirectories.KnownUpstream,
   ): Promise<void> {
     const { engines, log, picker } = this.options;
-    const order = createOrder(job, run, at, true);
-    const { requestId: request, sourceAddress: runner } = order;
-    const details = { request, upstream: run.engine.upstreamId, copyAt: at.upstreamId };
+    const order = createOrder(job, run, target, true);
+    const { requestId: request, sourceAddress } = order;
+    const details = { request, upstream: run.engine.upstreamId, copyAt: target.upstreamId };
     try {
-      const result = await engines.copyKvCache(order, AbortSignal.timeout(COPY_MS));
-      // A run that was stopped and found no room is kept by its own engine, and may go on there while that stays.
-      const holder = result.kind === 'made' ? at : run.engine;
+      const result = await engines.copyKvCache(order, AbortSignal.timeout(COPY_TIMEOUT_MS));
+      // If the target engine has no capacity, the stopped run stays on its own engine and can be resumed there until
+      // that engine exits.
+      const backupEngine = result.kind === 'made' ? target : run.engine;
       const handle = result.kind === 'no-run' ? undefined : result.handle;
       if (handle !== undefined) {
-        run.backup = { at: holder, reference: { kind: 'ordered', sourceAddress: runner, handle } };
+        run.backup = {
+          at: backupEngine,
+          reference: { kind: 'ordered', sourceAddress, handle },
+        };
       }
       log.info({ decision: 'hand-over', ...details, result: result.kind });
     } catch (err) {
@@ -178,13 +190,13 @@
 function createOrder(
   { call }: routedJobs.RoutedJob,
   { engine }: MigratableRun,
-  at: upstreamDirectories.KnownUpstream,
+  target: upstreamDirectories.KnownUpstream,
   isLast: boolean,
 ): ports.KvCacheCopyOrder {
   return {
     sourceAddress: engine.listed.address,
     requestId: call.facts.requestId,
-    targetAddress: at.listed.address,
+    targetAddress: target.listed.address,
     isLast,
   };
 }
--- a/packages/gateway/src/placement-client.ts
+++ b/packages/gateway/src/placement-client.ts
@@ -6,18 +6,18 @@
 import type * as upstreamPickers from './upstream-picker.js';
 
 /**
- * How long the leader's answer may take beyond the time that it may hold the question, in milliseconds: some ten
- * times the way there and back. After it this host chooses alone, so a leader that dies costs each call that long.
+ * Time that the leader's answer may take beyond the time that it may hold the request, in milliseconds; about ten round
+ * trips. After that the host uses fallback placement, so a failed leader delays a call by this much.
  */
-const ANSWER_MS = 60;
+const ANSWER_MARGIN_MS = 60;
 
-/** How long after a question without an answer this host chooses alone, in milliseconds. */
-const ALONE_MS = 500;
+/** How long fallback placement is used after a request without an answer, in milliseconds. */
+const FALLBACK_MS = 500;
 
-/** How long the question whether a run is to be handed over stays open at the leader, in milliseconds. */
-const HAND_OVER_WAIT_MS = 2_000;
+/** How long the leader may hold a request for a migration, in milliseconds. */
+const MIGRATION_WAIT_MS = 2_000;
 
-/** What the client needs. */
+/** Dependencies of the placement client. */
 export interface PlacementClientOptions {
   readonly mesh: coreMeshes.CoreMesh;
   readonly findLeader: () => string | undefined;
@@ -25,126 +25,129 @@
   readonly log: schemas.Log;
 }
 
-interface Running {
+interface RunningGeneration {
   readonly service: string;
-  readonly need: routing.PlacementSpec;
+  readonly spec: routing.PlacementSpec;
   readonly engineId: string;
   readonly startedAt: number;
 }
 
-/** Asks the leader where generations go, and keeps it informed of what runs here. */
+/** Requests placements from the leader and reports the generations of this host to it. */
 export class PlacementClient implements upstreamPickers.GenerationPlacer {
-  private readonly running = new Map<string, Running>();
-  private aloneUntil = -Infinity;
-  private informed: string | undefined;
+  private readonly running = new Map<string, RunningGeneration>();
+  private fallbackUntil = -Infinity;
+  private informedLeader: string | undefined;
 
   public constructor(private readonly options: PlacementClientOptions) {}
 
-  /** Where a generation goes; nothing when the leader does not answer, and this host has to choose alone. */
+  /** Requests a placement; undefined if the leader does not answer and this host has to use fallback placement. */
   public async place(
     service: string,
-    need: routing.PlacementSpec,
+    spec: routing.PlacementSpec,
     wait: upstreamPickers.PlacementWait,
   ): Promise<procedures.PlaceRes | undefined> {
-    return this.ask((api) =>
+    return this.request((api) =>
       api.place.mutate(
-        { service, need, ...wait },
-        { context: { deadlineMs: wait.patienceMs + ANSWER_MS } },
+        { service, need: spec, ...wait },
+        { context: { deadlineMs: wait.patienceMs + ANSWER_MARGIN_MS } },
       ),
     );
   }
 
-  /** Which engine takes a run over when that comes up meanwhile; nothing when nobody answers. */
+  /**
+   * Waits until a run is to be migrated and returns the target engine, if any; undefined if the leader does not answer.
+   */
   public async awaitMigration(
     service: string,
     run: procedures.MigrationOffer,
   ): Promise<procedures.MigrationRes | undefined> {
-    const patienceMs = HAND_OVER_WAIT_MS;
-    const context = { deadlineMs: patienceMs + ANSWER_MS };
-    return this.ask((api) =>
+    const patienceMs = MIGRATION_WAIT_MS;
+    const context = { deadlineMs: patienceMs + ANSWER_MARGIN_MS };
+    return this.request((api) =>
       api.awaitHandOver.mutate({ service, ...run, patienceMs }, { context }),
     );
   }
 
-  /** Notes what became of a generation that runs here. */
+  /** Reports an event of a generation that runs here. */
   public noteRun(callId: string, event: procedures.GenerationEvent['event']): void {
     const { findLeader, mesh } = this.options;
     const known = this.running.get(callId);
     const leader = findLeader();
     if (known !== undefined && leader !== undefined) {
       const note = { service: known.service, callId, event };
-      this.tell(mesh.get(leader).noteRun.mutate(note), 'note-run');
+      this.send(mesh.get(leader).noteRun.mutate(note), 'note-run');
     }
   }
 
-  /** Asks the leader for a retry beyond this host's own share. */
+  /** Requests a retry beyond this host's own share from the leader. */
   public async requestRetry(service: string): Promise<boolean> {
-    const context = { deadlineMs: ANSWER_MS };
-    const res = await this.ask((api) => api.borrowRetry.mutate({ service }, { context }));
+    const context = { deadlineMs: ANSWER_MARGIN_MS };
+    const res = await this.request((api) => api.borrowRetry.mutate({ service }, { context }));
     return res?.isLent ?? false;
   }
 
-  /** Notes that a generation runs here, wherever that was decided. */
-  public registerRun(service: string, need: routing.PlacementSpec, engineId: string): void {
-    const startedAt = this.options.clock.now() - need.ranMs;
-    this.running.set(need.callId, { service, need, engineId, startedAt });
+  /** Registers a generation that runs here, whether the leader or this host placed it. */
+  public registerRun(service: string, spec: routing.PlacementSpec, engineId: string): void {
+    const startedAt = this.options.clock.now() - spec.ranMs;
+    this.running.set(spec.callId, { service, spec, engineId, startedAt });
   }
 
-  /** Notes that it runs no longer. */
+  /** Unregisters a generation that has ended, and reports that to the leader. */
   public unregisterRun(callId: string, hasFailed: boolean): void {
     const { findLeader, mesh } = this.options;
     const known = this.running.get(callId);
     const leader = findLeader();
     this.running.delete(callId);
     if (known !== undefined && leader !== undefined) {
-      this.tell(
+      this.send(
         mesh.get(leader).release.mutate({ service: known.service, callId, hasFailed }),
         'release',
       );
     }
   }
 
-  /** Asks the leader; one that does not answer is left alone for a while. */
-  private async ask<T>(question: (api: coreMeshes.CoreApi) => Promise<T>): Promise<T | undefined> {
+  /** Sends a request to the leader; after one that was not answered, sends none for a while. */
+  private async request<T>(send: (api: coreMeshes.CoreApi) => Promise<T>): Promise<T | undefined> {
     const { clock, findLeader, log, mesh } = this.options;
     const leader = findLeader();
-    if (leader === undefined || clock.now() < this.aloneUntil) {
+    if (leader === undefined || clock.now() < this.fallbackUntil) {
       return undefined;
     }
-    this.inform(leader);
+    this.reportRuns(leader);
     try {
-      return await question(mesh.get(leader));
+      return await send(mesh.get(leader));
     } catch (err) {
-      // Whoever leads next, or this one again, has to be told what runs here: one that lost the lead has forgotten.
-      this.informed = undefined;
-      // A question that was open at a former leader says nothing of the one that leads now.
+      // The next leader, or this one after a re-election, needs the runs of this host: a host that loses the lead drops
+      // them.
+      this.informedLeader = undefined;
+      // A failed request to a former leader says nothing about the current one.
       if (findLeader() === leader) {
-        this.aloneUntil = clock.now() + ALONE_MS;
+        this.fallbackUntil = clock.now() + FALLBACK_MS;
       }
       log.warn({ event: 'pool-owner-lost', peer: leader, err: schemas.toError(err).message });
       return undefined;
     }
   }
 
-  /** Tells a leader that has just risen, or was lost for a while, what runs here. */
-  private inform(leader: string): void {
+  /** Reports the runs of this host to a leader that is new or did not answer for a while. */
+  private reportRuns(leader: string): void {
     const { clock, mesh } = this.options;
-    if (this.informed === leader) {
+    if (this.informedLeader === leader) {
       return;
     }
-    this.informed = leader;
+    this.informedLeader = leader;
     const now = clock.now();
-    this.running.forEach(({ engineId, need, service, startedAt }) => {
-      const told = { fixedEngineId: engineId, isUnderWay: true, wantsCopy: false };
-      const known = { ...need, ...told, ranMs: now - startedAt };
+    this.running.forEach(({ engineId, spec, service, startedAt }) => {
+      const registration = { fixedEngineId: engineId, isUnderWay: true, wantsCopy: false };
+      const known = { ...spec, ...registration, ranMs: now - startedAt };
       const req = { service, need: known, patienceMs: 0, dueInMs: 0, rank: 0 };
-      this.tell(mesh.get(leader).place.mutate(req), 'inform');
+      this.send(mesh.get(leader).place.mutate(req), 'inform');
     });
   }
 
-  private tell(told: Promise<unknown>, step: string): void {
-    told.catch((err: unknown) => {
-      // The account drops what is overdue, so a message that is lost costs room for a while and nothing else.
+  private send(pending: Promise<unknown>, step: string): void {
+    pending.catch((err: unknown) => {
+      // The leader's ledger drops overdue runs, so a lost message only occupies capacity for a while.
       this.options.log.debug({ step, err: schemas.toError(err).message });
     });
   }
--- a/packages/gateway/src/placement-service.ts
+++ b/packages/gateway/src/placement-service.ts
@@ -4,104 +4,107 @@
 
 import type * as procedures from './core-procedures.js';
 
-/** How often generations that wait are looked at again, in milliseconds; an engine reads 70 tokens meanwhile. */
-const RETRY_MS = 20;
+/**
+ * Interval at which placement of waiting generations is retried, in milliseconds; an engine prefills 70 tokens
+ * meanwhile.
+ */
+const RETRY_INTERVAL_MS = 20;
 
-/** The part of what an engine bears while it is cold that the leader gives out. */
-const COLD_PART = 0.6;
+/** The leader's share of the calls per second that a cold engine tolerates; the rest is for fallback placement. */
+const LEADER_COLD_SHARE = 0.6;
 
-/** Where the desk learns what it needs. */
+/** Dependencies of the placement service. */
 export interface PlacementServiceOptions {
   readonly clock: schemas.Clock;
-  /** The services in force, with what is known of their engines. */
+  /** Returns a service of the configuration in force with the properties of its engines. */
   readonly findService: (name: string) => schemas.RoutedService | undefined;
-  /** The list of upstreams; nothing while this leader has not read one. */
+  /** Returns the list of upstreams; undefined until this leader has read one. */
   readonly findUpstreams: () => readonly schemas.ListedUpstream[] | undefined;
-  /** Whether an availability zone is to get no new work; the revision changes with every zone that does. */
+  /** Returns whether an availability zone must get no new work; the revision changes with every such change. */
   readonly isEvacuated: (availabilityZone: string) => boolean;
   readonly getEvacuationRevision: () => number;
-  /** How many times its declared rate a cold upstream bears, and how many calls in a second beyond that. */
+  /** Multiple of its declared rate that a cold upstream tolerates, and additional calls per second. */
   readonly coldBounds: { readonly coldOverage: number; readonly coldSlack: number };
-  /** How many retries at one service may be lent. */
+  /** Limits of the retries that may be granted for one service. */
   readonly retryLimiter: requests.RetryGrantLimits;
 }
 
-interface WaitingPlace extends routing.QueuedPlacement {
+interface WaitingPlacement extends routing.QueuedPlacement {
   readonly settle: (placed: routing.Placement | undefined) => void;
 }
 
-interface WaitingRun extends routing.MigrationCandidate {
-  readonly settle: (takerId: string | undefined) => void;
+interface WaitingMigration extends routing.MigrationCandidate {
+  readonly settle: (targetEngineId: string | undefined) => void;
 }
 
 interface Pool {
   readonly ledger: routing.EngineLedger;
-  readonly queue: routing.PlacementQueue<WaitingPlace>;
-  readonly plan: routing.MigrationScheduler<WaitingRun>;
-  isServing: boolean;
+  readonly queue: routing.PlacementQueue<WaitingPlacement>;
+  readonly migrations: routing.MigrationScheduler<WaitingMigration>;
+  isRetrying: boolean;
   listed: readonly schemas.ListedUpstream[] | undefined;
-  /** Whether this leader has read a list; what was listed in a former leadership is kept until then. */
+  /** Whether this leader has read a list; until then the engines listed in a former leadership are kept. */
   hasList: boolean;
   evacuationRevision: number;
 }
 
-/** The leader's account of every pool of engines: where generations are placed, in one place for all hosts. */
+/** Places generations on the leader for all hosts, with one ledger per pool of engines. */
 export class PlacementService {
   private readonly pools = new Map<string, Pool>();
-  private readonly pots = new Map<string, requests.RetryGrantLimiter>();
+  private readonly retryLimiters = new Map<string, requests.RetryGrantLimiter>();
   private term: number | undefined;
 
   public constructor(private readonly options: PlacementServiceOptions) {}
 
-  /** Places a generation; waits for room as long as its caller can, and says so when there is none. */
+  /** Places a generation; waits for capacity up to the request's time limit, then reports how full the pool is. */
   public async place(req: procedures.PlaceReq): Promise<procedures.PlaceRes> {
     const { clock } = this.options;
-    const askedAt = clock.now();
+    const requestedAt = clock.now();
     const pool = this.findPool(req.service);
-    // A run whose engine is given is only entered; it needs neither list nor room.
-    const isChoice = req.need.fixedEngineId === undefined;
-    // Without a list every pool looks full.
-    if (pool === undefined || (isChoice && !pool.hasList)) {
+    // A run with a fixed engine is only registered; it needs neither a list nor capacity.
+    const needsEngine = req.need.fixedEngineId === undefined;
+    // Without a list every pool would look full.
+    if (pool === undefined || (needsEngine && !pool.hasList)) {
       return { placed: undefined, waitedMs: 0, isUnknown: true };
     }
-    pool.plan.endMigration(req.need.callId);
-    if (isChoice && !pool.ledger.hasOpenEngine()) {
-      return { placed: undefined, waitedMs: 0, full: pool.ledger.getSummary(askedAt) };
+    pool.migrations.endMigration(req.need.callId);
+    if (needsEngine && !pool.ledger.hasOpenEngine()) {
+      return { placed: undefined, waitedMs: 0, full: pool.ledger.getSummary(requestedAt) };
     }
     const placed = await new Promise<routing.Placement | undefined>((resolve) => {
-      // A copy of a whole prompt would go over the links that runs need to be handed over.
-      const wantsCopy = req.need.wantsCopy && !pool.plan.isMigrating();
+      // A backup of a whole prompt would use the links that migrations need.
+      const wantsCopy = req.need.wantsCopy && !pool.migrations.isMigrating();
       pool.queue.add({
         spec: { ...req.need, wantsCopy },
-        dueAt: askedAt + req.dueInMs,
+        dueAt: requestedAt + req.dueInMs,
         priority: req.rank,
-        expiresAt: askedAt + req.patienceMs,
+        expiresAt: requestedAt + req.patienceMs,
         settle: resolve,
       });
-      this.serve(pool);
-      void this.serveWaiting(pool, req.service);
+      this.dispatch(pool);
+      void this.retryWaiting(pool, req.service);
     });
     const now = clock.now();
     const full = placed === undefined ? pool.ledger.getSummary(now) : undefined;
-    return { placed, waitedMs: Math.round(now - askedAt), full };
+    return { placed, waitedMs: Math.round(now - requestedAt), full };
   }
 
-  /** Says when a generation is to be handed over, and where to; nothing when that does not come up meanwhile. */
+  /** Waits until a generation is to be migrated and returns the target engine; undefined if the wait ends first. */
   public async awaitMigration(req: procedures.MigrationReq): Promise<procedures.MigrationRes> {
     const { callId, engineId, excluded, patienceMs, service } = req;
     const pool = this.findPool(service);
     if (pool === undefined) {
       return { takerId: undefined };
     }
-    const endsAt = this.options.clock.now() + patienceMs;
-    const takerId = await new Promise<string | undefined>((resolve) => {
-      pool.plan.offer({ callId, engineId, excluded, expiresAt: endsAt, settle: resolve });
-      void this.serveWaiting(pool, service);
+    const expiresAt = this.options.clock.now() + patienceMs;
+    const targetEngineId = await new Promise<string | undefined>((resolve) => {
+      pool.migrations.offer({ callId, engineId, excluded, expiresAt, settle: resolve });
+      void this.retryWaiting(pool, service);
     });
-    return { takerId };
+    return { takerId: targetEngineId };
   }
 
-  /** Notes what became of a generation. */
+  /** Records an event of a generation. */
   public noteRun({ callId, event, service }: procedures.GenerationEvent): void {
     const pool = this.pools.get(service);
     if (pool === undefined) {
@@ -110,55 +113,59 @@
     if (event === 'begun') {
       pool.ledger.recordFirstEvent(callId, this.options.clock.now());
     } else {
-      pool.plan.endMigration(callId);
+      pool.migrations.endMigration(callId);
       pool.ledger.setBackup(callId, undefined);
     }
-    this.serve(pool);
+    this.dispatch(pool);
   }
 
-  private serve(pool: Pool): void {
+  private dispatch(pool: Pool): void {
     const now = this.options.clock.now();
     pool.queue.dispatch(now).forEach(({ placed, queued }) => queued.settle(placed));
-    pool.plan.dispatch(now).forEach(({ run, targetEngineId: takerId }) => run.settle(takerId));
+    pool.migrations.dispatch(now).forEach(({ run, targetEngineId }) => run.settle(targetEngineId));
   }
 
-  /** Looks at those that wait again and again while there are any. */
-  private async serveWaiting(pool: Pool, service: string): Promise<void> {
-    if (pool.isServing) {
+  /** Retries waiting placements and migrations while there are any. */
+  private async retryWaiting(pool: Pool, service: string): Promise<void> {
+    if (pool.isRetrying) {
       return;
     }
-    pool.isServing = true;
-    while (pool.queue.size > 0 || pool.plan.size > 0) {
-      await this.options.clock.sleep(RETRY_MS);
+    pool.isRetrying = true;
+    while (pool.queue.size > 0 || pool.migrations.size > 0) {
+      await this.options.clock.sleep(RETRY_INTERVAL_MS);
       this.findPool(service);
-      this.serve(pool);
+      this.dispatch(pool);
     }
-    pool.isServing = false;
+    pool.isRetrying = false;
   }
 
-  /** Takes generations off the account. */
+  /** Removes a generation from the ledger. */
   public release(req: procedures.ReleaseReq): void {
     const pool = this.pools.get(req.service);
     if (pool !== undefined) {
       pool.ledger.release(req.callId, req.hasFailed, this.options.clock.now());
-      pool.plan.withdraw(req.callId)?.settle(undefined);
-      this.serve(pool);
+      pool.migrations.withdraw(req.callId)?.settle(undefined);
+      this.dispatch(pool);
     }
   }
 
-  /** Whether generations run on an engine, as far as the account has them. */
+  /** Returns whether the ledger has generations on an engine. */
   public hasRuns(service: string, engineId: string): boolean {
     return this.pools.get(service)?.ledger.hasRuns(engineId) ?? false;
   }
 
-  /** Lends a retry at a service. */
-  public grantRetry(service: string, lender: requests.RetryGrantor): boolean {
-    const pot = this.pots.get(service) ?? new requests.RetryGrantLimiter(this.options.retryLimiter);
-    this.pots.set(service, pot);
-    return pot.grant(lender, this.options.clock.now());
+  /** Grants a retry for a service if the limits allow it. */
+  public grantRetry(service: string, grantor: requests.RetryGrantor): boolean {
+    const limiter =
+      this.retryLimiters.get(service) ?? new requests.RetryGrantLimiter(this.options.retryLimiter);
+    this.retryLimiters.set(service, limiter);
+    return limiter.grant(grantor, this.options.clock.now());
   }
 
-  /** Begins to lead; what ran in a former leadership has ended or is told anew by the hosts. */
+  /**
+   * Starts a term as the leader with empty ledgers; runs of a former leadership have ended or are reported again by
+   * their hosts.
+   */
   public startLeading(term: number): void {
     if (this.term !== term) {
       this.term = term;
@@ -166,17 +173,17 @@
     }
   }
 
-  /** Forgets everything, because another host leads. */
+  /** Clears all ledgers, because another host leads. */
   public clear(): void {
     this.pools.clear();
   }
 
-  /** What this leader gives out; hosts that choose alone have the rest. */
+  /** Returns the sends per second that this leader may hand out; the rest is for fallback placement on the hosts. */
   private getSendLimits(callsPerS: number): routing.LedgerEngine['sendsPerS'] {
     const { coldOverage, coldSlack } = this.options.coldBounds;
-    const cold = Math.max(1, Math.floor(callsPerS * COLD_PART));
-    const bearable = callsPerS * coldOverage + coldSlack;
-    return { cold, most: Math.max(cold, Math.floor(bearable * COLD_PART)) };
+    const cold = Math.max(1, Math.floor(callsPerS * LEADER_COLD_SHARE));
+    const tolerated = callsPerS * coldOverage + coldSlack;
+    return { cold, most: Math.max(cold, Math.floor(tolerated * LEADER_COLD_SHARE)) };
   }
 
   private findPool(service: string): Pool | undefined {
@@ -216,13 +223,13 @@
 
 function createPool(): Pool {
   const ledger = new routing.EngineLedger();
-  const queue = new routing.PlacementQueue<WaitingPlace>(ledger);
-  const plan = new routing.MigrationScheduler<WaitingRun>(ledger);
+  const queue = new routing.PlacementQueue<WaitingPlacement>(ledger);
+  const migrations = new routing.MigrationScheduler<WaitingMigration>(ledger);
   return {
     ledger,
     queue,
-    plan,
-    isServing: false,
+    migrations,
+    isRetrying: false,
     listed: undefined,
     hasList: false,
     evacuationRevision: 0,
--- a/packages/gateway/src/retry-shares.ts
+++ b/packages/gateway/src/retry-shares.ts
@@ -3,40 +3,40 @@
 import type * as telemetry from '@bramleyridge/telemetry';
 
 /**
- * The part of the retries per request that this host counts on. Requests are counted here as they come, and by the
- * deployment in windows that need not begin when ours do.
+ * Share of the allowed retries per request that this host uses. It counts requests as they arrive, while the
+ * deployment's limit applies to windows that may start at other times.
  */
-const SAFE_PART = 0.7;
+const RATIO_SAFETY_SHARE = 0.7;
 
-/** The part of the retries beyond the ratio that the hosts share out among themselves. */
-const SHARED_PART = 0.35;
+/** Share of the retries beyond the ratio that is divided among the hosts. */
+const DIVIDED_SHARE = 0.35;
 
-/** The part that the leader lends to those that need more. */
+/** Share of the retries beyond the ratio that the leader grants to hosts that need more. */
 export const GRANTED_SHARE = 0.4;
 
 /**
- * The part that a leader lends in its first window, when it does not know what the one before it lent. With two new
- * leaders in one window the parts add up to 0.99.
+ * Share that a leader grants in its first window, when it has no record of its predecessor's grants. With two new
+ * leaders in one window the shares add up to 0.99.
  */
 export const FIRST_WINDOW_GRANTED_SHARE = 0.12;
 
-/** How much of a host's part is saved up; the rest comes back over a window. */
-const SAVED_PART = 0.8;
+/** Share of a host's part that is available as a burst; the rest is refilled over a window. */
+const BURST_SHARE = 0.8;
 
-/** What the shares follow from. */
+/** The limits from which the shares are computed. */
 export interface RetryBounds {
   readonly retryRatio: number;
   readonly retrySlack: number;
   readonly retryWindowMs: number;
-  /** How many hosts share; nothing before a leader has told. */
+  /** Number of entry hosts; undefined until a leader has sent it. */
   readonly entryHosts: number | undefined;
 }
 
 /**
- * This host's share of the retries that all hosts together may make, one budget for each service. The ratio holds
- * on each host by itself; of what is allowed beyond it each takes an equal part, most of it saved up, since
- * an engine that is lost breaks several generations off at once, and the rest coming back over a window. So the sum
- * stays within the whole also while no host can ask another.
+ * This host's share of the retries that all hosts together may make, as one budget per service. Each host applies the
+ * ratio to its own requests and gets an equal part of the retries beyond it. Most of that part is available as a burst,
+ * since the loss of an engine breaks several generations at once; the rest is refilled over a window. The sum stays
+ * within the limit even while hosts cannot reach each other.
  */
 export class RetryShares {
   private readonly budgets = new Map<string, requests.RetryBudget>();
@@ -44,35 +44,38 @@
   public constructor(
     private readonly clock: schemas.Clock,
     private readonly getBounds: () => RetryBounds,
-    private readonly borrow: (service: string) => Promise<boolean>,
+    private readonly requestGrant: (service: string) => Promise<boolean>,
     private readonly metrics: telemetry.MetricSink,
   ) {}
 
-  /** Where retries at a service come from: this host's share, and when that is used up the leader's pot. */
+  /** Returns the source of retries for a service: this host's share, and grants of the leader when that is used up. */
   public find(service: string): requests.GrantingRetrySource {
     const own = this.findOwn(service);
     return {
       noteRequest: () => own.noteRequest(),
       take: () => this.take(own, service),
-      takeGranted: () => this.takeLent(own, service),
+      takeGranted: () => this.takeGranted(own, service),
     };
   }
 
-  /** What can be planned is paid from the leader's pot, so that this host's own share is left for when it is cut off. */
-  private async takeLent(own: requests.RetryBudget, service: string): Promise<boolean> {
-    const isLent = await this.borrow(service);
-    const isOwn = !isLent && own.take();
-    const kept = isOwn ? 'own' : 'denied';
-    this.metrics.count('retries', { service, source: isLent ? 'lent' : kept });
-    return isOwn || isLent;
+  /**
+   * Takes a planned retry from the leader's grants first, so that this host's own share is left for when the leader is
+   * unreachable.
+   */
+  private async takeGranted(own: requests.RetryBudget, service: string): Promise<boolean> {
+    const isGranted = await this.requestGrant(service);
+    const isOwn = !isGranted && own.take();
+    const ownOrDenied = isOwn ? 'own' : 'denied';
+    this.metrics.count('retries', { service, source: isGranted ? 'lent' : ownOrDenied });
+    return isOwn || isGranted;
   }
 
   private async take(own: requests.RetryBudget, service: string): Promise<boolean> {
     const isOwn = own.take();
-    const isLent = !isOwn && (await this.borrow(service));
-    const lent = isLent ? 'lent' : 'denied';
-    this.metrics.count('retries', { service, source: isOwn ? 'own' : lent });
-    return isOwn || isLent;
+    const isGranted = !isOwn && (await this.requestGrant(service));
+    const grantedOrDenied = isGranted ? 'lent' : 'denied';
+    this.metrics.count('retries', { service, source: isOwn ? 'own' : grantedOrDenied });
+    return isOwn || isGranted;
   }
 
   private findOwn(service: string): requests.RetryBudget {
@@ -89,13 +92,13 @@
 
   private createAllowance(): requests.RetryAllowance {
     const { entryHosts, retryRatio, retrySlack, retryWindowMs } = this.getBounds();
-    // A host that has just started can't know how large the fleet is. With a guess, hundreds of them would take many times
-    // what there is.
-    const ownSlack = entryHosts === undefined ? 0 : (retrySlack * SHARED_PART) / entryHosts;
+    // A host that has just started has no count of the entry hosts. With a guessed count, hundreds of hosts together
+    // would use many times the limit.
+    const ownSlack = entryHosts === undefined ? 0 : (retrySlack * DIVIDED_SHARE) / entryHosts;
     return {
-      perRequest: retryRatio * SAFE_PART,
-      maxSaved: Math.max(1, ownSlack * SAVED_PART),
-      perSecond: (ownSlack * (1 - SAVED_PART)) / (retryWindowMs / 1_000),
+      perRequest: retryRatio * RATIO_SAFETY_SHARE,
+      maxSaved: Math.max(1, ownSlack * BURST_SHARE),
+      perSecond: (ownSlack * (1 - BURST_SHARE)) / (retryWindowMs / 1_000),
     };
   }
 }
--- a/packages/gateway/src/upstream-picker.ts
+++ b/packages/gateway/src/upstream-picker.ts
@@ -6,74 +6,74 @@
 import * as generationCalls from './generation-calls.js';
 import type * as upstreamDirectories from './upstream-directory.js';
 
-/** What a caller is told to wait when no upstream of the service is known to live, in seconds. */
+/** The Retry-After value if the service has no available upstream, in seconds. */
 const RETRY_AFTER_S = 0.5;
 
-/** What a caller is told to wait when all engines are full, in seconds; a draft ends every quarter of that. */
-const FULL_RETRY_S = 2;
+/** The Retry-After value if all engines are full, in seconds; a long generation ends every quarter of that. */
+const FULL_RETRY_AFTER_S = 2;
 
 /**
- * How long a generation may wait for room, as a share of the time within which its first event is due. Reading its
- * prompt takes 0.4 to 0.6 s of 1.5 to 1.8 s, so one that waits longer is late anyway.
+ * How long a generation may wait for capacity, as a share of the time within which its first event is due. The prefill
+ * takes 0.4 to 0.6 s of 1.5 to 1.8 s, so a generation that waits longer is late anyway.
  */
-const PATIENCE_SHARE = 0.4;
+const MAX_WAIT_SHARE = 0.4;
 
-/** What a generation is taken to fill on average where nothing is known of it, in tokens. */
-const MEAN_TOKENS = 3_000;
+/** Assumed mean memory use of a generation without further information, in tokens. */
+const ASSUMED_MEAN_TOKENS = 3_000;
 
-/** The upstream of one attempt. */
+/** The upstream picked for one attempt. */
 export interface PickedUpstream {
   readonly upstreamId: string;
   readonly known: upstreamDirectories.KnownUpstream;
-  /** Its share of busy places or of memory when it was picked, for the log. */
+  /** Its share of busy slots or of used memory when it was picked, for the log. */
   readonly share: number;
-  /** Who keeps a copy while the generation runs. */
+  /** The engine that keeps a backup while the generation runs, if any. */
   readonly backupEngine: upstreamDirectories.KnownUpstream | undefined;
-  /** How long it waited for room, in milliseconds. */
+  /** How long the call waited for capacity, in milliseconds. */
   readonly waitedMs: number;
-  /** Whether this host chose by what it knows, without the account of all hosts. */
+  /** Whether it was picked by fallback placement, without the leader's ledger of all hosts. */
   readonly isFallback: boolean;
 }
 
-/** What the leader said of a run that can be handed over. */
+/** The leader's answer about a run that can be migrated. */
 export interface MigrationAnswer {
-  /** Whether the leader answered, and with what this host knows. */
+  /** Whether the leader answered with an engine that this host can use, or with none. */
   readonly isAnswered: boolean;
   readonly target: upstreamDirectories.KnownUpstream | undefined;
 }
 
-/** How a generation waits for its place. */
+/** Time limits and priority of a generation that waits for placement. */
 export interface PlacementWait {
-  /** How long it may wait for room, in milliseconds. */
+  /** How long it may wait for capacity, in milliseconds. */
   readonly patienceMs: number;
-  /** In how many milliseconds its first event is due. */
+  /** Time until its first event is due, in milliseconds; negative if it is overdue. */
   readonly dueInMs: number;
-  /** Its rank; 0 goes first. */
+  /** Its priority; 0 is the highest. */
   readonly rank: number;
 }
 
-/** The account of what runs on the engines, as this host asks and informs it. */
+/** This host's access to the leader's ledger of the generations on the engines. */
 export interface GenerationPlacer {
-  /** Where a generation goes; nothing when nobody answers and this host has to choose alone. */
+  /** Requests a placement; undefined if there is no answer and this host has to use fallback placement. */
   place(
     service: string,
-    need: routing.PlacementSpec,
+    spec: routing.PlacementSpec,
     wait: PlacementWait,
   ): Promise<procedures.PlaceRes | undefined>;
-  /** Which engine takes a run over when that comes up meanwhile; nothing when nobody answers. */
+  /** Waits until a run is to be migrated and returns the target engine, if any; undefined if there is no answer. */
   awaitMigration(
     service: string,
     run: procedures.MigrationOffer,
   ): Promise<procedures.MigrationRes | undefined>;
-  /** Notes what became of a generation that runs here. */
+  /** Reports an event of a generation that runs here. */
   noteRun(callId: string, event: procedures.GenerationEvent['event']): void;
-  /** Notes that a generation runs here, wherever that was decided. */
-  registerRun(service: string, need: routing.PlacementSpec, engineId: string): void;
-  /** Notes that it runs no longer. */
+  /** Registers a generation that runs here, whether the leader or this host placed it. */
+  registerRun(service: string, spec: routing.PlacementSpec, engineId: string): void;
+  /** Unregisters a generation that has ended. */
   unregisterRun(callId: string, hasFailed: boolean): void;
 }
 
-/** What the picker needs. */
+/** Dependencies of the upstream picker. */
 export interface UpstreamPickerOptions {
   readonly directory: upstreamDirectories.UpstreamDirectory;
   readonly placer: GenerationPlacer;
@@ -84,24 +84,24 @@
   readonly random: () => number;
 }
 
-/** Picks the upstream of each attempt: engines as the leader's account says, all else by what this host knows. */
+/** Picks the upstream of each attempt: engines by the leader's ledger, all others by the state on this host. */
 export class UpstreamPicker {
   public constructor(private readonly options: UpstreamPickerOptions) {}
 
-  /** Picks an upstream that was not tried yet, or refuses. */
+  /** Picks an upstream that has not been tried yet, or throws a refusal. */
   public async pick(
     call: callAdmissions.AdmittedCall,
     tried: ReadonlySet<string>,
   ): Promise<PickedUpstream> {
     if (!generationCalls.isGeneration(call)) {
-      return this.pickAlone(call, tried);
+      return this.pickByFallback(call, tried);
     }
     const now = this.options.clock.now();
-    const patienceMs = Math.min(call.route.targetMs * PATIENCE_SHARE, call.endsAt - now);
+    const patienceMs = Math.min(call.route.targetMs * MAX_WAIT_SHARE, call.endsAt - now);
     const dueInMs = call.arrivedAt + call.route.targetMs - now;
-    const need = this.createNeed(call, [...tried, ...this.listBarred(call)]);
+    const spec = this.createSpec(call, [...tried, ...this.listDisallowed(call)]);
     const wait = { patienceMs, dueInMs, rank: generationCalls.getPriority(call) };
-    const res = await this.options.placer.place(call.service.name, need, wait);
+    const res = await this.options.placer.place(call.service.name, spec, wait);
     if (res !== undefined && res.placed === undefined && res.isUnknown !== true) {
       const { full, waitedMs } = res;
       this.options.log.info({
@@ -111,40 +111,41 @@
         waitedMs,
         ...full,
       });
-      throw this.refuse('noRoom', call.service.name, FULL_RETRY_S);
+      throw this.refuse('noRoom', call.service.name, FULL_RETRY_AFTER_S);
     }
     const picked = this.resolve(call, res);
     if (picked === undefined && res !== undefined) {
-      // The leader has read of an engine that this host's list lacks, or has no list itself. The account is told where
-      // it goes instead; otherwise it would miss it, or count it on an engine where it never ran.
-      return this.pickAt(call, this.pickAlone(call, tried).known);
+      // The leader chose an engine that this host's list lacks, or has no list itself. The upstream used instead is
+      // reported to the leader's ledger, which would otherwise miss the run or count it on an engine where it never
+      // ran.
+      return this.pickAt(call, this.pickByFallback(call, tried).known);
     }
-    const chosen = picked ?? this.pickAlone(call, tried);
-    this.options.placer.registerRun(call.service.name, need, chosen.upstreamId);
+    const chosen = picked ?? this.pickByFallback(call, tried);
+    this.options.placer.registerRun(call.service.name, spec, chosen.upstreamId);
     return chosen;
   }
 
-  /** Waits until a run is to be handed over, and gives the engine that takes it; nothing when that did not come up. */
+  /** Waits until a run is to be migrated and returns the target engine; no target if the wait ends first. */
   public async awaitMigrationTarget(
     call: callAdmissions.AdmittedCall,
     engineId: string,
     excluded: readonly string[],
   ): Promise<MigrationAnswer> {
     const callId = call.facts.requestId;
-    const run = { callId, engineId, excluded: [...excluded, ...this.listBarred(call)] };
-    const { log, placer: pools } = this.options;
-    const res = await pools.awaitMigration(call.service.name, run);
-    const taker = this.findHolder(call, res?.takerId);
-    if (res?.takerId !== undefined && taker === undefined) {
-      // The leader has read of an engine that this host's list lacks yet. Told nothing it would take the run for copied.
+    const run = { callId, engineId, excluded: [...excluded, ...this.listDisallowed(call)] };
+    const { log, placer } = this.options;
+    const res = await placer.awaitMigration(call.service.name, run);
+    const target = this.findAllowed(call, res?.takerId);
+    if (res?.takerId !== undefined && target === undefined) {
+      // This host's list lacks the target engine. Without a notification the leader would count the run as backed up.
       log.info({ decision: 'taker-unknown', request: run.callId, upstream: res.takerId });
-      pools.noteRun(run.callId, 'turn-over');
-      return { isAnswered: false, target: taker };
+      placer.noteRun(run.callId, 'turn-over');
+      return { isAnswered: false, target };
     }
-    return { isAnswered: res !== undefined, target: taker };
+    return { isAnswered: res !== undefined, target };
   }
 
-  /** Notes what became of a generation. */
+  /** Reports an event of a generation. */
   public noteRun(
     call: callAdmissions.AdmittedCall,
     event: procedures.GenerationEvent['event'],
@@ -154,64 +155,71 @@
     }
   }
 
-  /** Enters a generation at a certain engine, such as that of its copy, and picks who keeps the next copy. */
+  /**
+   * Registers a generation on a given engine, such as that of its backup, and returns it with the engine of the next
+   * backup, if any.
+   */
   public async pickAt(
     call: callAdmissions.AdmittedCall,
-    holder: upstreamDirectories.KnownUpstream,
+    engine: upstreamDirectories.KnownUpstream,
   ): Promise<PickedUpstream> {
     if (!generationCalls.isGeneration(call)) {
-      return this.createPicked(holder, undefined);
+      return this.createPicked(engine, undefined);
     }
-    const need = {
-      ...this.createNeed(call, []),
-      fixedEngineId: holder.upstreamId,
-      // A copy of all of its memory would go over the links that others need to be handed over.
+    const spec = {
+      ...this.createSpec(call, []),
+      fixedEngineId: engine.upstreamId,
+      // A backup of its whole KV cache would use the links that migrations of other runs need.
       wantsCopy: false,
       ranMs: this.options.clock.now() - call.arrivedAt,
     };
     const wait = { patienceMs: 0, dueInMs: 0, rank: generationCalls.getPriority(call) };
-    const res = await this.options.placer.place(call.service.name, need, wait);
-    this.options.placer.registerRun(call.service.name, need, holder.upstreamId);
-    const copyAt = this.findHolder(call, res?.placed?.copyAt);
-    return this.createPicked(holder, copyAt);
+    const res = await this.options.placer.place(call.service.name, spec, wait);
+    this.options.placer.registerRun(call.service.name, spec, engine.upstreamId);
+    const backupEngine = this.findAllowed(call, res?.placed?.copyAt);
+    return this.createPicked(engine, backupEngine);
   }
 
   private createPicked(
     known: upstreamDirectories.KnownUpstream,
-    copyAt: upstreamDirectories.KnownUpstream | undefined,
+    backupEngine: upstreamDirectories.KnownUpstream | undefined,
   ): PickedUpstream {
     const { upstreamId } = known;
-    return { upstreamId, known, share: 0, backupEngine: copyAt, waitedMs: 0, isFallback: false };
+    return { upstreamId, known, share: 0, backupEngine, waitedMs: 0, isFallback: false };
   }
 
-  /** Notes that a call runs no longer. */
+  /** Records that a call has ended. */
   public release(call: callAdmissions.AdmittedCall, hasFailed: boolean): void {
     if (generationCalls.isGeneration(call)) {
       this.options.placer.unregisterRun(call.facts.requestId, hasFailed);
     }
   }
 
-  /** The engine that the leader chose; nothing when this host's list does not have it yet. */
+  /**
+   * Returns the engine that the leader chose; undefined if this host's list lacks it or the call may not be sent there.
+   */
   private resolve(
     call: callAdmissions.AdmittedCall,
     res: procedures.PlaceRes | undefined,
   ): PickedUpstream | undefined {
     const placed = res?.placed;
-    const known = placed && this.findHolder(call, placed.engineId);
+    const known = placed && this.findAllowed(call, placed.engineId);
     return (
       known && {
         upstreamId: known.upstreamId,
         known,
         share: placed.share,
-        backupEngine: this.findHolder(call, placed.copyAt),
+        backupEngine: this.findAllowed(call, placed.copyAt),
         waitedMs: res.waitedMs,
         isFallback: false,
       }
     );
   }
 
-  /** An upstream that the leader named; nothing when it is not listed here, or the call may not be sent there. */
-  private findHolder(
+  /**
+   * Returns an upstream that the leader named; undefined if it is not listed here or the call may not be sent there.
+   */
+  private findAllowed(
     { regions }: callAdmissions.AdmittedCall,
     upstreamId: string | undefined,
   ): upstreamDirectories.KnownUpstream | undefined {
@@ -220,7 +228,7 @@
     return known !== undefined && directory.isPlacementAllowed(known, regions) ? known : undefined;
   }
 
-  private createNeed(call: callAdmissions.AdmittedCall, excluded: string[]) {
+  private createSpec(call: callAdmissions.AdmittedCall, excluded: string[]) {
     return {
       callId: call.facts.requestId,
       availabilityZone: this.options.availabilityZone,
@@ -234,18 +242,21 @@
   }
 
   /**
-   * Without a leader this host chooses by its own part of the load. It keeps no copies then: what others keep
-   * where is not known, and a copy too many costs more than it saves.
+   * Picks an upstream without the leader, by this host's own part of the load. No backups are kept then: it is not
+   * known which backups other hosts keep where, and a superfluous backup costs more than it saves.
    */
-  private pickAlone(call: callAdmissions.AdmittedCall, tried: ReadonlySet<string>): PickedUpstream {
+  private pickByFallback(
+    call: callAdmissions.AdmittedCall,
+    tried: ReadonlySet<string>,
+  ): PickedUpstream {
     const now = this.options.clock.now();
     const untried = this.listCandidates(call, now).filter((item) => !tried.has(item.upstreamId));
-    const candidates = untried.filter(({ known }) => this.bears(call.service, known, now));
+    const candidates = untried.filter(({ known }) => this.mayReceiveCall(call.service, known, now));
     const isEngine = generationCalls.isGeneration(call);
     const choose = isEngine ? routing.chooseByMemory : routing.chooseByCalls;
     const chosen = choose(candidates, now, this.options.random);
     if (chosen === undefined) {
-      this.noteNoUpstream(call, untried.length);
+      this.logNoUpstream(call, untried.length);
       throw this.refuse('noUpstream', call.service.name, RETRY_AFTER_S);
     }
     const { known, upstreamId } = chosen;
@@ -258,14 +269,16 @@
     return { upstreamId, known, share, backupEngine: undefined, waitedMs: 0, isFallback: true };
   }
 
-  private listBarred({ regions, service }: callAdmissions.AdmittedCall): string[] {
+  private listDisallowed({ regions, service }: callAdmissions.AdmittedCall): string[] {
     return regions === undefined
       ? []
       : this.options.directory.listDisallowed(service.name, regions);
   }
 
-  /** Whether an upstream bears a call of this host now: a cold one crashes under what all hosts would send. */
-  private bears(
+  /**
+   * Returns whether this host may send a call to an upstream now; a cold one would crash under the calls of all hosts.
+   */
+  private mayReceiveCall(
     { coldCallsPerS }: schemas.RoutedService,
     known: upstreamDirectories.KnownUpstream,
     now: number,
@@ -279,7 +292,7 @@
     );
   }
 
-  private noteNoUpstream({ facts, service }: callAdmissions.AdmittedCall, coldCount: number): void {
+  private logNoUpstream({ facts, service }: callAdmissions.AdmittedCall, coldCount: number): void {
     const isEvacuated = this.options.directory.isServiceEvacuated(service.name);
     const reason = coldCount > 0 ? 'cold' : 'none-live';
     this.options.log.info({
@@ -309,7 +322,7 @@
       slots: known.listed.slots,
       load: known.load,
       memoryTokens: service.engine?.memoryTokens ?? Infinity,
-      meanTokens: MEAN_TOKENS,
+      meanTokens: ASSUMED_MEAN_TOKENS,
     };
   }
 
@@ -330,8 +343,8 @@
 }
 
 function isMaybeCold(
-  { coldUntil, unlistedColdUntil: untoldColdUntil }: upstreamDirectories.KnownUpstream,
+  { coldUntil, unlistedColdUntil }: upstreamDirectories.KnownUpstream,
   now: number,
 ): boolean {
-  return Math.max(coldUntil, untoldColdUntil) > now;
+  return Math.max(coldUntil, unlistedColdUntil) > now;
 }
