--- a/packages/gateway/src/entry-list-reader.ts
+++ b/packages/gateway/src/entry-list-reader.ts
@@ -1,22 +1,26 @@
 import type * as schemas from '@bramleyridge/schemas';
 
-import * as listReaders from './upstream-list-reader.js';
+import * as upstreamListReaders from './upstream-list-reader.js';
 import type * as ports from './ports.js';
 import type * as upstreamDirectories from './upstream-directory.js';
 
-/** The share of the allowed calls to the list that all entry hosts together use when they read it themselves. */
-const LIST_SHARE = 0.4;
+/** Share of the platform's call limit that all entry hosts together use when they read the list themselves. */
+const ENTRY_HOSTS_CALL_SHARE = 0.4;
 
 /**
- * How long a host that has just started leaves the reading to the leader, in milliseconds, and as long again at most. After
- * a loss of power hundreds of hosts start at once, and their calls would keep the leader from reading for all of them.
+ * Minimum time after its start for which a host leaves reading to the leader, in milliseconds; a random part of up to
+ * the same length is added. After a power failure hundreds of hosts start at once, and their calls would keep the
+ * leader from reading the list for all of them.
  */
-const START_MS = 3_000;
+const START_DELAY_MS = 3_000;
 
-/** How long it does so where it reaches a leader, in milliseconds; that one may be cut off from the platform. */
-const LEADER_MS = 12_000;
+/**
+ * The same time for a host that reaches a leader, in milliseconds. It is limited, because that leader may not reach the
+ * platform.
+ */
+const LEADER_START_DELAY_MS = 12_000;
 
-/** What reading the list on an entry host needs. */
+/** Dependencies of the list reader on an entry host. */
 export interface EntryListReaderOptions {
   readonly source: ports.UpstreamSource;
   readonly directory: upstreamDirectories.UpstreamDirectory;
@@ -26,26 +30,27 @@
   readonly getSettings: () => { readonly listAddress: string; readonly listCallsPerS: number };
   readonly reachesLeader: () => boolean;
   readonly countEntryHosts: () => number;
-  /** The pause between two readings by the leader, in milliseconds. */
+  /** Returns the pause between two readings by the leader, in milliseconds. */
   readonly getPeriodMs: () => number;
 }
 
-/** Reads the list on an entry host, as long as no leader hands it on. */
+/** Creates a reader that reads the list on an entry host while no leader distributes it. */
 export function createEntryListReader(
   options: EntryListReaderOptions,
-): listReaders.UpstreamListReader {
+): upstreamListReaders.UpstreamListReader {
   const { clock, directory, getSettings, random, reachesLeader } = options;
   const startedAt = clock.now();
-  const startMs = START_MS * (1 + random());
-  const isDueFirst = () => {
-    const ranMs = clock.now() - startedAt;
-    return ranMs > (reachesLeader() ? LEADER_MS : startMs);
+  const startDelayMs = START_DELAY_MS * (1 + random());
+  const isFirstReadingDue = () => {
+    const uptimeMs = clock.now() - startedAt;
+    return uptimeMs > (reachesLeader() ? LEADER_START_DELAY_MS : startDelayMs);
   };
   const getPauseMs = (calls: number) => {
-    const ownCallsPerS = (getSettings().listCallsPerS * LIST_SHARE) / options.countEntryHosts();
-    return Math.max(listReaders.STALE_MS / 4, (calls * 1_000) / ownCallsPerS);
+    const ownCallsPerS =
+      (getSettings().listCallsPerS * ENTRY_HOSTS_CALL_SHARE) / options.countEntryHosts();
+    return Math.max(upstreamListReaders.STALE_MS / 4, (calls * 1_000) / ownCallsPerS);
   };
-  return new listReaders.UpstreamListReader({
+  return new upstreamListReaders.UpstreamListReader({
     source: options.source,
     clock,
     log: options.log,
@@ -55,8 +60,8 @@
     getCallsPerS: () => getSettings().listCallsPerS,
     isActive: () =>
       directory.hasList()
-        ? directory.getAgeMs() > listReaders.getStaleMs(options.getPeriodMs())
-        : isDueFirst(),
+        ? directory.getAgeMs() > upstreamListReaders.getStaleMs(options.getPeriodMs())
+        : isFirstReadingDue(),
     getPauseMs,
     onList: (list) => directory.applyList(list, 0),
   });
--- a/packages/gateway/src/leaving-engine-monitor.ts
+++ b/packages/gateway/src/leaving-engine-monitor.ts
@@ -2,132 +2,147 @@
 
 import type * as ports from './ports.js';
 
-/** How long an engine may take to say whether it is leaving, in milliseconds; it answers within a few. */
-const PROBE_MS = 400;
+/** Timeout of a probe, in milliseconds; an engine normally answers within a few. */
+const PROBE_TIMEOUT_MS = 400;
 
 /**
- * How long an engine's word that it leaves counts while the list does not confirm it, in milliseconds. The list
- * lags by 0.8 s and is read every 0.3 s; one that is still listed as staying after that says something else by it,
- * such as that it fails for a while, or what it says is false.
+ * How long an engine's leaving report is trusted while the list does not confirm it, in milliseconds. The list lags by
+ * 0.8 s and is read every 0.3 s. If the engine is still listed as staying after that, the report is false or has
+ * another cause, such as a temporary failure.
  */
-const UNCONFIRMED_MS = 2_500;
+const UNCONFIRMED_TRUST_MS = 2_500;
 
-/** How long an engine whose word proved false is not believed again, in milliseconds. */
-const DISBELIEF_MS = 15_000;
+/**
+ * Minimum time after a report before a new report of the same engine is trusted, in milliseconds. Limits the effect of
+ * an engine that reports falsely.
+ */
+const DISTRUST_MS = 15_000;
 
 /**
- * How many engines are asked in one round at most. Thousands of questions a second would take all of the leader's processor,
- * and then nobody is told where to send anything.
+ * Maximum number of engines probed in one round. Thousands of probes per second would use all of the leader's CPU time,
+ * and placement requests would go unanswered.
  */
-const MOST_ASKED = 80;
+const MAX_PROBES_PER_ROUND = 80;
 
-/** What the watch needs. */
+/** Dependencies of the monitor. */
 export interface LeavingEngineMonitorOptions {
   readonly probe: ports.UpstreamProbe;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
-  /** Whether this host is the one that should ask. */
+  /** Returns whether this host should probe. */
   readonly isActive: () => boolean;
-  /** The pause between two rounds, in milliseconds. */
+  /** Pause between two rounds, in milliseconds. */
   readonly pauseMs: number;
-  /** All engines, with the path of their health answer. */
+  /** Lists all engines with the paths of their health endpoints. */
   readonly listEngines: () => readonly MonitoredEngine[];
-  /** Called when some engine's word has changed. */
+  /** Called when the trusted report of an engine changes. */
   readonly onChange: () => void;
 }
 
-/** An engine that is asked. */
+/** An engine to probe. */
 export interface MonitoredEngine {
   readonly upstreamId: string;
   readonly address: string;
   readonly healthPath: string;
-  /** Whether something runs there that could be handed over. */
+  /** Whether it has runs that could be migrated. */
   readonly hasRuns: boolean;
 }
 
 /**
- * Asks engines whether they are leaving. An engine that is reclaimed serves for two seconds from its notice; the
- * list shows that a second late, and copying the memory of its runs takes the other: of 16 drafts that were lost so
- * on a heavy day 13 had their copy under way. Asked directly it says so at once.
+ * Probes engines for whether they are leaving. A reclaimed engine serves for two seconds after its notice. The list
+ * shows the notice a second late, and copying the KV caches of its runs takes another second: of 16 long generations
+ * lost this way, 13 were being copied. A probe returns the notice at once.
  */
 export class LeavingEngineMonitor {
-  private readonly saidAt = new Map<string, number>();
+  private readonly reportedAt = new Map<string, number>();
   private isStopped = false;
-  /** Where the next round begins, when there are too many to ask at once. */
-  private nextAsked = 0;
+  /** Index at which the next round starts if there are too many engines for one round. */
+  private nextIndex = 0;
 
   public constructor(private readonly options: LeavingEngineMonitorOptions) {}
 
-  /** Asks until stopped. */
+  /** Probes until stopped. */
   public async run(): Promise<void> {
-    const { clock, isActive: isDue, listEngines, pauseMs } = this.options;
+    const { clock, isActive, listEngines, pauseMs } = this.options;
     while (!this.isStopped) {
-      if (isDue()) {
+      if (isActive()) {
         const engines = listEngines();
-        this.forgetAllBut(engines);
-        this.chooseAsked(engines).forEach((engine) => {
-          void this.ask(engine);
+        this.removeUnlisted(engines);
+        this.selectEngines(engines).forEach((engine) => {
+          void this.probeEngine(engine);
         });
       }
       await clock.sleep(pauseMs);
     }
   }
 
-  /** Ends the task. */
+  /** Stops the task. */
   public stop(): void {
     this.isStopped = true;
   }
 
-  /** Whether an engine says that it leaves, and is believed. */
+  /** Returns whether an engine has reported that it leaves and the report is trusted. */
   public isLeaving(upstreamId: string): boolean {
     const ageMs = this.getAgeMs(upstreamId);
-    return ageMs < UNCONFIRMED_MS;
+    return ageMs < UNCONFIRMED_TRUST_MS;
   }
 
-  /** The engines to ask in this round: of too many those on which something runs, and of too many of these each in turn. */
-  private chooseAsked(engines: readonly MonitoredEngine[]): readonly MonitoredEngine[] {
-    if (engines.length <= MOST_ASKED) {
+  /**
+   * Selects the engines to probe in this round. If there are too many, probes only those with runs or a trusted leaving
+   * report, and if these are too many, probes them in rotation.
+   */
+  private selectEngines(engines: readonly MonitoredEngine[]): readonly MonitoredEngine[] {
+    if (engines.length <= MAX_PROBES_PER_ROUND) {
       return engines;
     }
-    const asked = engines.filter((engine) => engine.hasRuns || this.isLeaving(engine.upstreamId));
-    const first = asked.length > MOST_ASKED ? this.nextAsked % asked.length : 0;
-    this.nextAsked = first + MOST_ASKED;
-    return [...asked.slice(first), ...asked.slice(0, first)].slice(0, MOST_ASKED);
+    const candidates = engines.filter(
+      (engine) => engine.hasRuns || this.isLeaving(engine.upstreamId),
+    );
+    const first = candidates.length > MAX_PROBES_PER_ROUND ? this.nextIndex % candidates.length : 0;
+    this.nextIndex = first + MAX_PROBES_PER_ROUND;
+    return [...candidates.slice(first), ...candidates.slice(0, first)].slice(
+      0,
+      MAX_PROBES_PER_ROUND,
+    );
   }
 
-  private async ask(engine: MonitoredEngine): Promise<void> {
+  private async probeEngine(engine: MonitoredEngine): Promise<void> {
     const { log, probe } = this.options;
     const { address, healthPath, upstreamId } = engine;
     try {
-      const saysLeaving = await probe.isLeaving(address, healthPath, AbortSignal.timeout(PROBE_MS));
-      this.take(engine, saysLeaving);
+      const saysLeaving = await probe.isLeaving(
+        address,
+        healthPath,
+        AbortSignal.timeout(PROBE_TIMEOUT_MS),
+      );
+      this.handleReport(engine, saysLeaving);
     } catch (err) {
-      // Whoever sends work there finds out by itself; an engine that does not answer has not said that it leaves.
+      // A missing answer is not a leaving report; senders of work detect an unreachable engine themselves.
       log.debug({ step: 'probe', upstream: upstreamId, err: schemas.toError(err).message });
     }
   }
 
-  private take({ upstreamId }: MonitoredEngine, saysLeaving: boolean): void {
+  private handleReport({ upstreamId }: MonitoredEngine, saysLeaving: boolean): void {
     const { clock, log, onChange } = this.options;
-    if (saysLeaving && this.getAgeMs(upstreamId) > DISBELIEF_MS) {
-      this.saidAt.set(upstreamId, clock.now());
+    if (saysLeaving && this.getAgeMs(upstreamId) > DISTRUST_MS) {
+      this.reportedAt.set(upstreamId, clock.now());
       log.info({ event: 'upstream-says-leaving', upstream: upstreamId });
       onChange();
     } else if (!saysLeaving && this.isLeaving(upstreamId)) {
-      this.saidAt.delete(upstreamId);
+      this.reportedAt.delete(upstreamId);
       log.info({ event: 'upstream-says-staying', upstream: upstreamId });
       onChange();
     }
   }
 
   private getAgeMs(upstreamId: string): number {
-    return this.options.clock.now() - (this.saidAt.get(upstreamId) ?? -Infinity);
+    return this.options.clock.now() - (this.reportedAt.get(upstreamId) ?? -Infinity);
   }
 
-  private forgetAllBut(engines: readonly MonitoredEngine[]): void {
-    const known = new Set(engines.map(({ upstreamId }) => upstreamId));
-    [...this.saidAt.keys()]
-      .filter((upstreamId) => !known.has(upstreamId))
-      .forEach((upstreamId) => this.saidAt.delete(upstreamId));
+  private removeUnlisted(engines: readonly MonitoredEngine[]): void {
+    const listed = new Set(engines.map(({ upstreamId }) => upstreamId));
+    [...this.reportedAt.keys()]
+      .filter((upstreamId) => !listed.has(upstreamId))
+      .forEach((upstreamId) => this.reportedAt.delete(upstreamId));
   }
 }
--- a/packages/gateway/src/upstream-directory.ts
+++ b/packages/gateway/src/upstream-directory.ts
@@ -3,24 +3,24 @@
 
 import type * as procedures from './core-procedures.js';
 
-/** How long an upstream at which nobody listened is passed over, in milliseconds; the list lags by seconds. */
-const UNREACHABLE_MS = 1_000;
+/** How long an upstream that refused a connection is skipped, in milliseconds; the list lags by seconds. */
+const UNREACHABLE_SKIP_MS = 1_000;
 
 /**
- * How long an upstream that was unreachable may be cold without the list saying so, in milliseconds. It comes back while
- * it is still listed as it was before.
+ * How long an upstream that was unreachable may be cold without being listed so, in milliseconds. It may restart while
+ * the list still shows its earlier state.
  */
-const COLD_UNTOLD_MS = 3_000;
+const UNLISTED_COLD_MS = 3_000;
 
-/** An upstream as this host sees it. */
+/** An upstream with its listed properties and the state that this host has observed. */
 export interface KnownUpstream {
   readonly upstreamId: string;
   readonly url: string;
   readonly listed: schemas.ListedUpstream;
   readonly load: routing.UpstreamLoad;
-  /** Until when it is still cold after its start, on this host's clock. */
+  /** End of its cold period after the start, on this host's clock in milliseconds. */
   readonly coldUntil: number;
-  /** Until when it may be cold without being listed so. */
+  /** End of the period in which it may be cold without being listed so, on this host's clock in milliseconds. */
   readonly unlistedColdUntil: number;
 }
 
@@ -28,12 +28,12 @@
   unlistedColdUntil: number;
   isLeaving: boolean;
   isGone: boolean;
-  avoidUntil: number;
+  skipUntil: number;
 }
 
-/** The upstreams that the platform lists, and what calls to them have shown meanwhile. */
+/** The upstreams that the platform lists, with the state that calls to them have shown since. */
 export class UpstreamDirectory {
-  /** Tells that another list was taken. */
+  /** Notifies when a different list is applied. */
   public readonly changed = new schemas.ChangeSignal();
   private entries = new Map<string, Entry>();
   private stamp = '';
@@ -42,44 +42,44 @@
   public constructor(
     private readonly clock: schemas.Clock,
     private readonly log: schemas.Log,
-    /** Whether an availability zone is to get no new work. */
+    /** Returns whether an availability zone must get no new work. */
     private readonly isEvacuated: (availabilityZone: string) => boolean = () => false,
-    /** The region of an availability zone; nothing where the settings don't tell. */
+    /** Returns the region of an availability zone; undefined if the settings do not name it. */
     private readonly findRegion: (availabilityZone: string) => string | undefined = () => undefined,
   ) {}
 
-  /** What the list in force is known by. */
+  /** Returns the stamp of the list in force; empty before the first list. */
   public getStamp(): string {
     return this.stamp;
   }
 
-  /** Whether a list was ever read. */
+  /** Returns whether a list has been applied. */
   public hasList(): boolean {
     return this.stamp !== '';
   }
 
-  /** How old the list in force is, in milliseconds. */
+  /** Returns the age of the list in force, in milliseconds. */
   public getAgeMs(): number {
     return this.clock.now() - this.readAt;
   }
 
-  /** Notes that the list in force was still true so long ago. */
+  /** Records that the list in force was still current the given number of milliseconds ago. */
   public confirmCurrent(ageMs: number): void {
     this.readAt = Math.max(this.readAt, this.clock.now() - ageMs);
   }
 
-  /** Takes a list; what calls have shown of an upstream stays known. */
+  /** Applies a list; keeps the observed state of upstreams whose process has not changed. */
   public applyList(list: procedures.UpstreamList, ageMs: number): void {
     this.confirmCurrent(ageMs);
     if (list.stamp === this.stamp) {
       return;
     }
-    const former = this.entries;
+    const previous = this.entries;
     this.stamp = list.stamp;
     this.entries = new Map(
       list.upstreams.map((listed) => [
         listed.upstreamId,
-        this.createEntry(listed, former.get(listed.upstreamId)),
+        this.createEntry(listed, previous.get(listed.upstreamId)),
       ]),
     );
     this.log.info({
@@ -91,7 +91,7 @@
     this.changed.notify();
   }
 
-  /** Takes what has changed in the list; changes of a list other than the one in force say nothing. */
+  /** Applies changes to the list in force; ignores changes to any other list. */
   public applyChanges({ changed, from, gone, stamp }: procedures.ListChanges, ageMs: number): void {
     if (from !== this.stamp) {
       return;
@@ -103,32 +103,33 @@
   }
 
   /**
-   * The upstreams of a service that take calls now. Where all of them lately refused a connection they are tried all
-   * the same: a zone that is cut off has one or two of its own, and passing them over refused 100 calls in a row
-   * that the next connection would have taken.
+   * Lists the upstreams of a service that accept calls now. If all of them have recently refused a connection, returns
+   * them nevertheless: a partitioned zone has only one or two of its own, and skipping them refused 100 calls in a row
+   * that the next connection would have accepted.
    */
   public listLive(service: string, regions?: ReadonlySet<string>): KnownUpstream[] {
     const now = this.clock.now();
     const listed = [...this.entries.values()].filter(
-      (item) => item.listed.service === service && this.takesWork(item, regions),
+      (item) => item.listed.service === service && this.acceptsWork(item, regions),
     );
-    const reachable = listed.filter((item) => item.avoidUntil <= now);
+    const reachable = listed.filter((item) => item.skipUntil <= now);
     return reachable.length > 0 ? reachable : listed;
   }
 
-  /** How many upstreams take work, of all services. */
+  /** Returns the number of upstreams that accept work, of all services. */
   public countLive(): number {
-    return [...this.entries.values()].filter((item) => this.takesWork(item)).length;
+    return [...this.entries.values()].filter((item) => this.acceptsWork(item)).length;
   }
 
-  /** An upstream that is listed, whether or not it takes calls. */
+  /** Returns a listed upstream, whether or not it accepts calls. */
   public find(upstreamId: string): KnownUpstream | undefined {
     return this.entries.get(upstreamId);
   }
 
   /**
-   * Whether anything new may be sent to an upstream, whoever chose it: the leader, a copy that lies there, or this host;
-   * `regions` are those to which the call is bound. One that leaves is not barred here: its own runs go on there.
+   * Returns whether new work may be sent to an upstream, regardless of whether the leader, a backup held there or this
+   * host selected it. `regions` are those to which the call is restricted. An upstream that leaves is allowed, since
+   * its own runs continue there.
    */
   public isPlacementAllowed({ listed }: KnownUpstream, regions?: ReadonlySet<string>): boolean {
     const { availabilityZone } = listed;
@@ -139,38 +140,44 @@
     return regions === undefined || (region !== undefined && regions.has(region));
   }
 
-  /** The upstreams of a service that may not run a call that is bound to some regions. */
+  /** Lists the upstreams of a service that must not run a call restricted to the given regions. */
   public listDisallowed(service: string, regions: ReadonlySet<string>): string[] {
     return [...this.entries.values()]
       .filter((item) => item.listed.service === service && !this.isPlacementAllowed(item, regions))
       .map(({ upstreamId }) => upstreamId);
   }
 
-  /** Whether a service has upstreams that would take work, all of them in evacuated zones. */
+  /** Returns whether a service has upstreams and all of them are in evacuated zones. */
   public isServiceEvacuated(service: string): boolean {
     const all = [...this.entries.values()].filter(({ listed }) => listed.service === service);
     return all.length > 0 && all.every((item) => !this.isPlacementAllowed(item));
   }
 
-  /** Whether an upstream is listed and not known to leave or to be gone. */
+  /**
+   * Returns whether an upstream is listed and accepts work: it is neither leaving nor gone, and its zone is not
+   * evacuated.
+   */
   public isLive(upstreamId: string): boolean {
     const entry = this.entries.get(upstreamId);
-    return entry !== undefined && this.takesWork(entry);
+    return entry !== undefined && this.acceptsWork(entry);
   }
 
-  /** Whether an upstream is known to leave as announced. */
+  /** Returns whether an upstream has announced that it leaves, in the list or itself. */
   public isLeaving(upstreamId: string): boolean {
     const entry = this.entries.get(upstreamId);
     return entry !== undefined && (entry.isLeaving || entry.listed.saysLeaving === true);
   }
 
-  /** Whether the process of an upstream seen before has ended and another one has its name; what it held is lost. */
+  /**
+   * Returns whether the process of a previously obtained upstream has been replaced under the same id; its state is
+   * lost.
+   */
   public hasRestarted({ listed, upstreamId }: KnownUpstream): boolean {
     const entry = this.entries.get(upstreamId);
     return entry !== undefined && schemas.isReborn(listed, entry.listed);
   }
 
-  /** Notes that another process has an upstream's address, so the upstream is gone for good. */
+  /** Records that another process has an upstream's address, so the upstream is gone permanently. */
   public noteGone(upstreamId: string): void {
     const entry = this.entries.get(upstreamId);
     if (entry !== undefined) {
@@ -178,43 +185,46 @@
     }
   }
 
-  /** Notes that nobody listened at an upstream's address. */
+  /** Records that an upstream refused a connection. */
   public noteUnreachable(upstreamId: string): void {
     const entry = this.entries.get(upstreamId);
     if (entry !== undefined) {
       const now = this.clock.now();
-      entry.avoidUntil = now + UNREACHABLE_MS;
-      entry.unlistedColdUntil = now + UNREACHABLE_MS + COLD_UNTOLD_MS;
+      entry.skipUntil = now + UNREACHABLE_SKIP_MS;
+      entry.unlistedColdUntil = now + UNREACHABLE_SKIP_MS + UNLISTED_COLD_MS;
     }
   }
 
-  /** An entry of the list; what was known of a process that has ended does not hold for the one after it. */
+  /** Creates an entry. The state of an earlier process under the same id is not carried over. */
   private createEntry(listed: schemas.ListedUpstream, known: Entry | undefined): Entry {
-    const isReborn = known !== undefined && schemas.isReborn(known.listed, listed);
-    if (isReborn) {
+    const hasRestarted = known !== undefined && schemas.isReborn(known.listed, listed);
+    if (hasRestarted) {
       this.log.info({ event: 'upstream-reborn', upstream: listed.upstreamId });
     }
-    const former = isReborn ? undefined : known;
+    const previous = hasRestarted ? undefined : known;
     return {
       upstreamId: listed.upstreamId,
       url: `http://${listed.address}`,
       listed,
-      load: former?.load ?? new routing.UpstreamLoad(),
-      coldUntil: this.getColdUntil(listed, former),
-      unlistedColdUntil: former?.unlistedColdUntil ?? -Infinity,
-      isLeaving: listed.isLeaving || (former?.isLeaving ?? false),
-      isGone: former?.isGone ?? false,
-      avoidUntil: former?.avoidUntil ?? -Infinity,
+      load: previous?.load ?? new routing.UpstreamLoad(),
+      coldUntil: this.getColdUntil(listed, previous),
+      unlistedColdUntil: previous?.unlistedColdUntil ?? -Infinity,
+      isLeaving: listed.isLeaving || (previous?.isLeaving ?? false),
+      isGone: previous?.isGone ?? false,
+      skipUntil: previous?.skipUntil ?? -Infinity,
     };
   }
 
-  /** A list that says the same of an upstream as the one before says it of the same time. */
-  private getColdUntil(listed: schemas.ListedUpstream, former: Entry | undefined): number {
-    const isSame = former !== undefined && former.listed.coldMs === listed.coldMs;
-    return isSame ? former.coldUntil : this.clock.now() + listed.coldMs;
+  /**
+   * Keeps the end of the cold period while the listed value is unchanged, since it then still refers to the earlier
+   * reading.
+   */
+  private getColdUntil(listed: schemas.ListedUpstream, previous: Entry | undefined): number {
+    const isSame = previous !== undefined && previous.listed.coldMs === listed.coldMs;
+    return isSame ? previous.coldUntil : this.clock.now() + listed.coldMs;
   }
 
-  private takesWork(entry: Entry, regions?: ReadonlySet<string>): boolean {
+  private acceptsWork(entry: Entry, regions?: ReadonlySet<string>): boolean {
     const { isGone, isLeaving, listed } = entry;
     const isStaying = !isGone && !isLeaving && listed.saysLeaving !== true;
     return isStaying && this.isPlacementAllowed(entry, regions);
--- a/packages/gateway/src/upstream-list-history.ts
+++ b/packages/gateway/src/upstream-list-history.ts
@@ -2,41 +2,41 @@
 
 import * as procedures from './core-procedures.js';
 
-/** How many lists before the one in force are kept; a host that is further behind gets the whole list. */
-const MOST_KEPT = 8;
+/** Number of lists kept before the one in force; a host that is further behind gets the whole list. */
+const MAX_PREVIOUS_LISTS = 8;
 
-/** The part of the list beyond which a host is sent the whole list instead of what has changed. */
-const MOST_CHANGED_PART = 0.5;
+/** Share of changed entries above which a host is sent the whole list instead of the changes. */
+const MAX_CHANGED_SHARE = 0.5;
 
-/** The last lists of upstreams, for hosts that need only what has changed since the one that they have. */
+/** Keeps the last lists of upstreams, so that hosts can be sent only the changes since the list that they have. */
 export class UpstreamListHistory {
   private lists: procedures.UpstreamList[] = [];
-  private packed = new Map<string, Uint8Array | undefined>();
+  private packedChanges = new Map<string, Uint8Array | undefined>();
 
-  /** Adds the list that is in force from now on. */
+  /** Adds the new list in force. */
   public add(list: procedures.UpstreamList): void {
-    this.lists = [...this.lists, list].slice(-(MOST_KEPT + 1));
-    this.packed.clear();
+    this.lists = [...this.lists, list].slice(-(MAX_PREVIOUS_LISTS + 1));
+    this.packedChanges.clear();
   }
 
-  /** What has changed since a list, packed once for all hosts; nothing where the whole list is better. */
+  /** Returns the changes since a list, encoded once for all hosts; undefined if the whole list should be sent. */
   public getPackedChanges(from: string): Uint8Array | undefined {
-    if (!this.packed.has(from)) {
+    if (!this.packedChanges.has(from)) {
       const changes = this.findChanges(from);
-      this.packed.set(from, changes && procedures.packListChanges(changes));
+      this.packedChanges.set(from, changes && procedures.packListChanges(changes));
     }
-    return this.packed.get(from);
+    return this.packedChanges.get(from);
   }
 
   private findChanges(from: string): procedures.ListChanges | undefined {
     const current = this.lists.at(-1);
-    const former = this.lists.find(({ stamp }) => stamp === from);
-    if (current === undefined || former === undefined) {
+    const previous = this.lists.find(({ stamp }) => stamp === from);
+    if (current === undefined || previous === undefined) {
       return undefined;
     }
-    const before = new Map(former.upstreams.map((item) => [item.upstreamId, item]));
+    const before = new Map(previous.upstreams.map((item) => [item.upstreamId, item]));
     const changed = current.upstreams.filter((item) => !isSame(item, before.get(item.upstreamId)));
-    if (changed.length > current.upstreams.length * MOST_CHANGED_PART) {
+    if (changed.length > current.upstreams.length * MAX_CHANGED_SHARE) {
       return undefined;
     }
     const listed = new Set(current.upstreams.map(({ upstreamId }) => upstreamId));
--- a/packages/gateway/src/upstream-list-reader.ts
+++ b/packages/gateway/src/upstream-list-reader.ts
@@ -3,98 +3,101 @@
 import type * as procedures from './core-procedures.js';
 import type * as ports from './ports.js';
 
-/** How long the platform may take to answer with a page of the list, in milliseconds. */
-const PAGE_MS = 1_500;
+/** Timeout for one page of the list, in milliseconds. */
+const PAGE_TIMEOUT_MS = 1_500;
 
-/** How long one reading may wait in all for pages that were refused at first, in milliseconds. */
-const REFUSED_MS = 8_000;
+/** Time from the start of a reading during which refused pages are requested again, in milliseconds. */
+const MAX_REFUSED_WAIT_MS = 8_000;
 
-/** The pause before a refused page is asked for again, in times of the pause between two calls that are allowed. */
-const REFUSED_PAUSES = 2;
+/** Pause before a refused page is requested again, as a multiple of the mean interval that the call limit allows. */
+const REFUSED_PAUSE_FACTOR = 2;
 
-/** How often the pause is doubled at most while readings fail. */
-const MOST_DOUBLINGS = 5;
+/** Maximum number of times that the pause is doubled while readings fail. */
+const MAX_BACKOFF_DOUBLINGS = 5;
 
-/** Beyond which age the list is read by an entry host itself, in milliseconds: no leader hands it on. */
+/** Minimum age at which an entry host reads the list itself because no leader distributes it, in milliseconds. */
 export const STALE_MS = 2_000;
 
-/** How many of the leader's readings have to be missing before that, where it reads a long list less often. */
+/** Number of missed readings by the leader after which a list is stale; the leader reads a long list less often. */
 const STALE_PERIODS = 3;
 
-/** Beyond which age a list is stale that the leader reads at some period, both in milliseconds. */
+/** Returns the age above which a list is stale, given the pause between the leader's readings, both in milliseconds. */
 export function getStaleMs(periodMs: number): number {
   return Math.max(STALE_MS, STALE_PERIODS * periodMs);
 }
 
-/** What a reader of the list needs. */
+/** Dependencies of a list reader. */
 export interface UpstreamListReaderOptions {
   readonly source: ports.UpstreamSource;
   readonly getAddress: () => string;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
-  /** Whether this host is the one that should read. */
+  /** Returns whether this host should read the list. */
   readonly isActive: () => boolean;
-  /** The pause between two readings, in milliseconds, after one that took so many calls. */
+  /** Returns the pause after a reading that took the given number of calls, in milliseconds. */
   readonly getPauseMs: (calls: number) => number;
-  /** The pause between two looks whether it should read, in milliseconds; left out, that of two readings. */
+  /**
+   * Pause between two checks of `isActive` while it returns false, in milliseconds; defaults to the pause between
+   * readings.
+   */
   readonly idlePauseMs?: number;
-  /** How many calls the platform allows in a second, from all hosts. */
+  /** Returns the number of calls per second that the platform allows for all hosts together. */
   readonly getCallsPerS: () => number;
   /**
-   * Whether others read the same list, so that this host gives way when the platform refuses a call: hundreds of hosts that
-   * ask on use the allowed calls up, and the one that reads for all of them never gets to the last page.
+   * Whether this host ends a reading and backs off when the platform refuses a call, because others read the same list.
+   * If hundreds of hosts retried, they would use up the call limit, and the leader would never get to the last page.
    */
   readonly backsOff: boolean;
   readonly random: () => number;
   readonly onList: (list: procedures.UpstreamList) => void;
 }
 
-/** Reads the platform's list of upstreams again and again while this host is the one that should. */
+/** Reads the platform's list of upstreams periodically while this host is responsible for it. */
 export class UpstreamListReader {
   private isStopped = false;
   private isFailing = false;
-  private calls = 1;
-  private unreadable = 0;
-  /** Readings in a row that failed. */
+  private lastCallCount = 1;
+  private unreadableCount = 0;
+  /** Number of consecutive failed readings. */
   private failures = 0;
 
   public constructor(private readonly options: UpstreamListReaderOptions) {}
 
   /** Reads until stopped. */
   public async run(): Promise<void> {
-    const { clock, getPauseMs, idlePauseMs, isActive: isDue } = this.options;
+    const { clock, getPauseMs, idlePauseMs, isActive } = this.options;
     while (!this.isStopped) {
-      const wasDue = isDue();
-      if (wasDue) {
+      const wasActive = isActive();
+      if (wasActive) {
         await this.readOnce();
       }
-      const pauseMs = getPauseMs(this.calls);
-      await clock.sleep(wasDue ? pauseMs * this.getPauseFactor() : (idlePauseMs ?? pauseMs));
+      const pauseMs = getPauseMs(this.lastCallCount);
+      await clock.sleep(wasActive ? pauseMs * this.getBackoffFactor() : (idlePauseMs ?? pauseMs));
     }
   }
 
-  /** How many calls the last reading took. */
+  /** Returns the number of calls that the last successful reading took; 1 before the first. */
   public getLastCallCount(): number {
-    return this.calls;
+    return this.lastCallCount;
   }
 
-  /** Ends the task. */
+  /** Stops the task. */
   public stop(): void {
     this.isStopped = true;
   }
 
-  /** Reads once; a platform that does not answer leaves what was known. */
+  /** Reads the list once; after a failure the previous list stays in use. */
   private async readOnce(): Promise<void> {
-    const { getAddress, log, source, onList: take } = this.options;
+    const { getAddress, log, source, onList } = this.options;
     const peer = getAddress();
     const { end, reading, signal } = this.createReading();
     try {
       const read = await source.list(peer, signal, reading);
-      this.calls = read.calls;
+      this.lastCallCount = read.calls;
       this.failures = 0;
-      this.noteUnreadable(read.unreadable, peer);
+      this.logUnreadable(read.unreadable, peer);
       const upstreams = keepLatestStarts(read.upstreams);
-      take({ stamp: schemas.getContentHash(upstreams), upstreams });
+      onList({ stamp: schemas.getContentHash(upstreams), upstreams });
       if (this.isFailing) {
         log.info({ event: 'list-regained', peer });
       }
@@ -110,50 +113,52 @@
     }
   }
 
-  private getPauseFactor(): number {
+  private getBackoffFactor(): number {
     if (!this.options.backsOff || this.failures === 0) {
       return 1;
     }
-    return 2 ** Math.min(this.failures, MOST_DOUBLINGS) * (0.5 + this.options.random());
+    return 2 ** Math.min(this.failures, MAX_BACKOFF_DOUBLINGS) * (0.5 + this.options.random());
   }
 
-  /** A reading ends when a page takes too long, or when refused ones have to wait for too long. */
+  /** Creates the limits of one reading: it ends when a page takes too long or refused pages have waited too long. */
   private createReading() {
-    const { clock, getCallsPerS, backsOff: givesWay } = this.options;
+    const { clock, getCallsPerS, backsOff } = this.options;
     const abort = new AbortController();
     const timer = setTimeout(
       () =>
-        abort.abort(new schemas.StepError({ id: 'deadline', step: 'read-list', args: [PAGE_MS] })),
-      PAGE_MS,
+        abort.abort(
+          new schemas.StepError({ id: 'deadline', step: 'read-list', args: [PAGE_TIMEOUT_MS] }),
+        ),
+      PAGE_TIMEOUT_MS,
     );
-    const refusedUntil = clock.now() + REFUSED_MS;
-    const awaitRefused = async () => {
-      if (givesWay || clock.now() > refusedUntil) {
+    const refusedUntil = clock.now() + MAX_REFUSED_WAIT_MS;
+    const awaitRetryAllowed = async () => {
+      if (backsOff || clock.now() > refusedUntil) {
         return false;
       }
-      await clock.sleep((REFUSED_PAUSES * 1_000) / getCallsPerS());
+      await clock.sleep((REFUSED_PAUSE_FACTOR * 1_000) / getCallsPerS());
       return true;
     };
-    const notePage = () => {
+    const recordPage = () => {
       timer.refresh();
     };
     const reading: ports.ListReadMonitor = {
-      recordPage: notePage,
-      awaitRetryAllowed: awaitRefused,
+      recordPage,
+      awaitRetryAllowed,
     };
     return { signal: abort.signal, reading, end: () => clearTimeout(timer) };
   }
 
-  /** Notes entries that could not be read when their number changes; another writer may leave them for long. */
-  private noteUnreadable(unreadable: number, peer: string): void {
-    if (unreadable !== this.unreadable) {
+  /** Logs the number of unreadable entries when it changes; another writer may leave them in the list for long. */
+  private logUnreadable(unreadable: number, peer: string): void {
+    if (unreadable !== this.unreadableCount) {
       this.options.log.warn({ event: 'list-entries-unreadable', count: unreadable, peer });
     }
-    this.unreadable = unreadable;
+    this.unreadableCount = unreadable;
   }
 }
 
-/** Of entries with the same name the one that started last; the others are of processes that ended. */
+/** Keeps, of entries with the same id, the one that started last; the others belong to processes that have exited. */
 function keepLatestStarts(upstreams: readonly schemas.ListedUpstream[]): schemas.ListedUpstream[] {
   const byId = new Map<string, schemas.ListedUpstream>();
   upstreams.forEach((item) => {
--- a/packages/gateway/src/upstream-list-service.ts
+++ b/packages/gateway/src/upstream-list-service.ts
@@ -2,122 +2,134 @@
 
 import * as procedures from './core-procedures.js';
 import type * as hostSettings from './host-settings.js';
-import * as leavingWatches from './leaving-engine-monitor.js';
-import * as listHistories from './upstream-list-history.js';
-import * as listReaders from './upstream-list-reader.js';
+import * as leavingEngineMonitors from './leaving-engine-monitor.js';
+import * as upstreamListHistories from './upstream-list-history.js';
+import * as upstreamListReaders from './upstream-list-reader.js';
 import type * as ports from './ports.js';
 
 /**
- * How often the leader reads the list of upstreams, in milliseconds. An engine that is reclaimed at short notice
- * is listed as leaving for one to two seconds, of which the list's own lag takes 0.8; each call costs as much as a
- * third of a short answer earns.
+ * Minimum pause between two readings of the list by the leader, in milliseconds. An engine reclaimed at short notice is
+ * listed as leaving for one to two seconds, of which the list's own lag takes 0.8 s. Each call costs a third of the
+ * revenue of a short answer.
  */
-const LIST_MS = 300;
+const READ_PAUSE_MS = 300;
 
 /**
- * How often the leader asks each engine whether it leaves, in milliseconds. It then knows 0.1 s after the notice on
- * average, of the 1.5 to 2 s for which a reclaimed engine still serves; by the list it takes 0.9 s. A tenth of a second
- * is a third of a run's way to another engine. The questions cost 0.5% of what a day's calls earn, twice as much as every
- * 0.4 s; that they earn it back is not shown (+1.4% with a standard error of 1.3%, eight pairs of days).
+ * Pause between two probes of the engines by the leader, in milliseconds. Detects a notice after 0.1 s on average, and
+ * the list after 0.9 s, of the 1.5 to 2 s for which a reclaimed engine still serves. A tenth of a second is a third of
+ * the duration of a migration. The probes cost 0.5% of the revenue, twice as much as at 0.4 s; a net gain is not
+ * established (+1.4% with a standard error of 1.3%, eight pairs of days).
  */
 const PROBE_PAUSE_MS = 200;
 
 /**
- * How long changes of the list are gathered, in milliseconds. Engines that are reclaimed together say so within a few
- * milliseconds, and each list goes to every entry host: seven lists to 194 hosts are 4 MB for the news of one.
+ * How long changes are collected into one new list, in milliseconds. Engines that are reclaimed together report it
+ * within a few milliseconds, and each list goes to every entry host: seven lists to 194 hosts are 4 MB where one list
+ * is enough.
  */
-const GATHER_MS = 10;
+const CHANGE_BATCH_MS = 10;
 
-/** The share of the allowed calls to the list that the leader uses at most. */
-const LIST_SHARE = 0.5;
+/** Maximum share of the platform's call limit that the leader uses. */
+const LEADER_CALL_SHARE = 0.5;
 
-/** How often a host that does not lead looks whether it does, in milliseconds; a new leader knows no upstreams. */
-const IDLE_PAUSE_MS = 20;
+/**
+ * Interval at which a host that does not lead checks whether it does, in milliseconds. Short, since a new leader has no
+ * list.
+ */
+const LEADERSHIP_CHECK_MS = 20;
 
-/** By how much two readings of one cold time may differ, in milliseconds. */
+/** Maximum difference between two readings of the end of the same cold period, in milliseconds. */
 const COLD_TOLERANCE_MS = 500;
 
-interface ColdTime {
+interface ColdPeriod {
   readonly coldMs: number;
   readonly endsAt: number;
 }
 
-/** What the desk needs. */
+/** Dependencies of the upstream list service. */
 export interface UpstreamListServiceOptions {
   readonly source: ports.UpstreamSource;
   readonly probe: ports.UpstreamProbe;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly getSettings: () => hostSettings.HostSettings;
-  /** Since when this host is the one that should read and ask; nothing while it is not. */
+  /**
+   * Returns the time since which this host has to read and probe, in milliseconds; undefined while it does not have to.
+   */
   readonly findActiveSince: () => number | undefined;
   readonly findService: (name: string) => schemas.RoutedService | undefined;
-  /** Whether generations run on an engine. */
+  /** Returns whether generations run on an engine. */
   readonly hasRuns: (service: string, engineId: string) => boolean;
 }
 
-/** The list of upstreams as the leader hands it on: what the platform lists, and what engines say of themselves. */
+/**
+ * Maintains the list of upstreams that the leader distributes: the platform's list with the engines' own leaving
+ * reports.
+ */
 export class UpstreamListService {
-  /** Tells that the list is another one. */
+  /** Notifies when the list in force changes. */
   public readonly changed = new schemas.ChangeSignal();
-  private readonly reader: listReaders.UpstreamListReader;
-  private readonly leaving: leavingWatches.LeavingEngineMonitor;
-  private listed: readonly schemas.ListedUpstream[] = [];
+  private readonly reader: upstreamListReaders.UpstreamListReader;
+  private readonly leavingEngines: leavingEngineMonitors.LeavingEngineMonitor;
+  private platformUpstreams: readonly schemas.ListedUpstream[] = [];
   private list: procedures.UpstreamList | undefined;
   private packed: Uint8Array | undefined;
-  private readonly history = new listHistories.UpstreamListHistory();
-  private isGathering = false;
+  private readonly history = new upstreamListHistories.UpstreamListHistory();
+  private isRebuildScheduled = false;
   private readAt = -Infinity;
-  private coldTimes = new Map<string, ColdTime>();
-  /** When the platform's list was read from which the one in force was made. */
+  private coldPeriods = new Map<string, ColdPeriod>();
+  /** When the platform's list behind the list in force was read. */
   private inForceReadAt = -Infinity;
 
   public constructor(private readonly options: UpstreamListServiceOptions) {
-    const { clock, findActiveSince: findDueSince, getSettings, log, probe, source } = options;
-    const isDue = () => findDueSince() !== undefined;
-    this.reader = new listReaders.UpstreamListReader({
+    const { clock, findActiveSince, getSettings, log, probe, source } = options;
+    const isActive = () => findActiveSince() !== undefined;
+    this.reader = new upstreamListReaders.UpstreamListReader({
       source,
       clock,
       log,
       getAddress: () => getSettings().listAddress,
-      isActive: isDue,
+      isActive,
       getPauseMs: (calls) => this.getPauseMs(calls),
-      idlePauseMs: IDLE_PAUSE_MS,
+      idlePauseMs: LEADERSHIP_CHECK_MS,
       getCallsPerS: () => getSettings().listCallsPerS,
       backsOff: false,
       random: Math.random,
-      onList: (list) => this.take(list),
+      onList: (list) => this.handleReading(list),
     });
-    this.leaving = new leavingWatches.LeavingEngineMonitor({
+    this.leavingEngines = new leavingEngineMonitors.LeavingEngineMonitor({
       probe,
       clock,
       log,
-      isActive: isDue,
+      isActive,
       pauseMs: PROBE_PAUSE_MS,
       listEngines: () => this.listEngines(),
-      onChange: () => this.renewSoon(),
+      onChange: () => this.scheduleRebuild(),
     });
   }
 
-  /** Reads the list and asks engines until stopped. */
+  /** Starts reading the list and probing engines; both continue until stopped. */
   public run(): void {
     void this.reader.run();
-    void this.leaving.run();
+    void this.leavingEngines.run();
   }
 
-  /** Ends both tasks. */
+  /** Stops both tasks. */
   public stop(): void {
     this.reader.stop();
-    this.leaving.stop();
+    this.leavingEngines.stop();
   }
 
-  /** The list in force, once one was read. What was read in a former leadership may be old by minutes. */
+  /**
+   * Returns the list in force; undefined until one is read in the current leadership. An older one may be outdated by
+   * minutes.
+   */
   public getList(): procedures.UpstreamList | undefined {
-    const dueSince = this.options.findActiveSince();
-    return dueSince !== undefined && this.inForceReadAt >= dueSince ? this.list : undefined;
+    const activeSince = this.options.findActiveSince();
+    return activeSince !== undefined && this.inForceReadAt >= activeSince ? this.list : undefined;
   }
 
-  /** The list in force as bytes, made once for all who are told. */
+  /** Returns the last list as bytes, encoded once for all recipients. */
   public getPackedList(): Uint8Array | undefined {
     if (this.list !== undefined) {
       this.packed ??= procedures.packList(this.list);
@@ -125,78 +137,80 @@
     return this.packed;
   }
 
-  /** What has changed in the list in force since another one, as bytes; nothing where the whole list is better. */
+  /** Returns the changes from a given list to the last one as bytes; undefined if the whole list should be sent. */
   public getPackedChanges(from: string): Uint8Array | undefined {
     return this.history.getPackedChanges(from);
   }
 
-  /** How long ago it was read, in milliseconds; nothing before. */
+  /** Returns the age of the list in force, in milliseconds; undefined without a list. */
   public getAgeMs(): number | undefined {
     return this.getList() && this.options.clock.now() - this.inForceReadAt;
   }
 
-  /** The pause between two readings, in milliseconds; a list of many pages is read less often. */
+  /** Returns the pause between two readings, in milliseconds; a list of many pages is read less often. */
   public getPeriodMs(): number {
     return this.getPauseMs(this.reader.getLastCallCount());
   }
 
-  private take({ upstreams }: procedures.UpstreamList): void {
+  private handleReading({ upstreams }: procedures.UpstreamList): void {
     this.readAt = this.options.clock.now();
-    this.listed = this.keepColdTimes(upstreams);
-    this.renewSoon();
+    this.platformUpstreams = this.keepFirstColdReadings(upstreams);
+    this.scheduleRebuild();
   }
 
   /**
-   * An upstream that is cold tells less time at each reading. While it says what it said before, what was read first
-   * stays: with each change the whole list would go to every host.
+   * Keeps the first reading of each cold period. The remaining time decreases with every reading, and each changed
+   * value would cause a new list for every host.
    */
-  private keepColdTimes(upstreams: readonly schemas.ListedUpstream[]): schemas.ListedUpstream[] {
+  private keepFirstColdReadings(
+    upstreams: readonly schemas.ListedUpstream[],
+  ): schemas.ListedUpstream[] {
     const now = this.options.clock.now();
-    const former = this.coldTimes;
-    this.coldTimes = new Map();
+    const previous = this.coldPeriods;
+    this.coldPeriods = new Map();
     return upstreams.map((item) => {
       if (item.coldMs === 0) {
         return item;
       }
-      const known = former.get(item.upstreamId);
+      const known = previous.get(item.upstreamId);
       const isSame = known !== undefined && now + item.coldMs < known.endsAt + COLD_TOLERANCE_MS;
-      const time = isSame ? known : { coldMs: item.coldMs, endsAt: now + item.coldMs };
-      this.coldTimes.set(item.upstreamId, time);
-      return { ...item, coldMs: time.coldMs };
+      const period = isSame ? known : { coldMs: item.coldMs, endsAt: now + item.coldMs };
+      this.coldPeriods.set(item.upstreamId, period);
+      return { ...item, coldMs: period.coldMs };
     });
   }
 
-  private renewSoon(): void {
-    if (!this.isGathering) {
-      this.isGathering = true;
-      void this.options.clock.sleep(GATHER_MS).then(() => {
-        this.isGathering = false;
-        this.renew();
+  private scheduleRebuild(): void {
+    if (!this.isRebuildScheduled) {
+      this.isRebuildScheduled = true;
+      void this.options.clock.sleep(CHANGE_BATCH_MS).then(() => {
+        this.isRebuildScheduled = false;
+        this.rebuild();
       });
     }
   }
 
-  /** Makes the list anew when what is listed or what engines say has changed. */
-  private renew(): void {
-    const upstreams = this.listed.map((item) =>
-      this.leaving.isLeaving(item.upstreamId) ? { ...item, saysLeaving: true } : item,
+  /** Builds a new list if the platform's list or the engines' reports have changed. */
+  private rebuild(): void {
+    const upstreams = this.platformUpstreams.map((item) =>
+      this.leavingEngines.isLeaving(item.upstreamId) ? { ...item, saysLeaving: true } : item,
     );
     const stamp = schemas.getContentHash(upstreams);
-    const isNews = stamp !== this.getList()?.stamp;
+    const isChanged = stamp !== this.getList()?.stamp;
     this.inForceReadAt = this.readAt;
     if (stamp !== this.list?.stamp) {
       this.list = { stamp, upstreams };
       this.packed = undefined;
       this.history.add(this.list);
     }
-    if (isNews) {
+    if (isChanged) {
       this.changed.notify();
     }
   }
 
-  /** Engines whose runs can be taken over. */
-  private listEngines(): leavingWatches.MonitoredEngine[] {
-    return this.listed.flatMap(({ address, isLeaving, service, upstreamId }) => {
+  /** Lists the engines whose runs can be migrated and that are not listed as leaving. */
+  private listEngines(): leavingEngineMonitors.MonitoredEngine[] {
+    return this.platformUpstreams.flatMap(({ address, isLeaving, service, upstreamId }) => {
       const found = this.options.findService(service);
       return found?.engine?.canMove === true && !isLeaving
         ? [
@@ -213,6 +227,6 @@
 
   private getPauseMs(calls: number): number {
     const { listCallsPerS } = this.options.getSettings();
-    return Math.max(LIST_MS, (calls * 1_000) / (listCallsPerS * LIST_SHARE));
+    return Math.max(READ_PAUSE_MS, (calls * 1_000) / (listCallsPerS * LEADER_CALL_SHARE));
   }
 }
