--- a/packages/gateway/src/crash-guard.ts
+++ b/packages/gateway/src/crash-guard.ts
@@ -4,51 +4,52 @@
 import type * as telemetry from '@bramleyridge/telemetry';
 
 import type * as routedJobs from './routed-job.js';
-import type * as suspectLinks from './suspect-client.js';
+import type * as suspectClients from './suspect-client.js';
 import type * as upstreamDirectories from './upstream-directory.js';
 
-/** How long a run has to go on before it most likely has nothing to do with the end of its process, in milliseconds. */
-const SEASONED_MS = 1_000;
+/** Time after the start of an answer beyond which its run is probably not the cause of a crash, in milliseconds. */
+const EARLY_CRASH_MS = 1_000;
 
 /**
- * How long a call waits for what its last run shows, in milliseconds. A refused connection is back within a few; behind a
- * cut there is no answer, and a stream that goes on elsewhere has been silent for long enough.
+ * Maximum wait of a repeated call for the exit check of its last run, in milliseconds. A refused connection is reported
+ * within a few milliseconds. During a network partition there is no answer, and a stream that continues elsewhere must
+ * not be delayed further.
  */
-const CHECK_WAIT_MS = 30;
+const MAX_CHECK_WAIT_MS = 30;
 
-/** How a run at an upstream ended. */
+/** The outcome of a run on an upstream. */
 export type RunOutcome =
-  /** All of the answer came, and the upstream did not call it a failure. */
+  /** The answer was complete and not a failure. */
   | 'served'
-  /** It broke off after it was handed over. */
+  /** The connection broke after the call was sent. */
   | 'lost'
-  /** Nothing can be told from it. */
+  /** It ended without evidence for or against the call. */
   | 'over'
-  /** No upstream ran it. */
+  /** No upstream ran the call. */
   | 'not-run';
 
-/** A run of a call, as far as the guard has to know. */
+/** The properties of a run that the guard uses. */
 export interface GuardedRun {
   readonly known: upstreamDirectories.KnownUpstream;
-  /** When its answer began; nothing when it had not. */
+  /** Start time of its answer on this host's clock, in milliseconds; undefined if no answer had started. */
   readonly answerStartedAt: number | undefined;
 }
 
-/** Where a call may be sent: to the upstream that was picked, to another one, or to a certain one. */
+/** Where a call may be sent: to the picked upstream, to a different one, or to a specific one. */
 export type PermitDecision =
   | { readonly kind: 'go' | 'elsewhere' }
   | { readonly kind: 'there'; readonly upstream: upstreamDirectories.KnownUpstream };
 
-/** The permit for a run of a suspect. */
+/** A permit for one run of a suspect. */
 interface RunPermit {
   readonly permit: routing.Permit;
-  /** Whether it says that no other suspect runs there. */
+  /** Whether no other suspect runs on the permitted process. */
   readonly isAlone: boolean;
 }
 
-/** What the guard needs. */
+/** Dependencies of the crash guard. */
 export interface CrashGuardOptions {
-  readonly suspects: suspectLinks.SuspectClient;
+  readonly suspects: suspectClients.SuspectClient;
   readonly directory: upstreamDirectories.UpstreamDirectory;
   readonly endCheck: requests.ProcessExitDetector;
   readonly clock: schemas.Clock;
@@ -57,39 +58,39 @@
 }
 
 /**
- * Keeps calls that end the upstreams that run them from being sent on. Such a call comes again under another id, at any
- * host; each time it costs an upstream with all that runs there. Every way to an upstream asks here first: attempts,
- * second attempts and runs that go on elsewhere.
+ * Stops calls that crash the upstreams that run them. Such a call is repeated under a new id on any host, and each time
+ * it crashes an upstream with all runs on it. Every path to an upstream checks here first: attempts, retries and runs
+ * that continue on another upstream.
  */
 export class CrashGuard {
   private readonly ledger = new routing.CrashLedger();
-  /** What is being found out, by the call's digest: it may come again before that is known. */
-  private readonly checks = new Map<string, Promise<void>>();
-  /** The permit for the run of a job that is under way. */
-  private readonly permitted = new WeakMap<routedJobs.RoutedJob, RunPermit>();
+  /** Pending exit checks by call digest; the same call may arrive again before its check has completed. */
+  private readonly exitChecks = new Map<string, Promise<void>>();
+  /** The permit for the current run of each job. */
+  private readonly permits = new WeakMap<routedJobs.RoutedJob, RunPermit>();
 
   public constructor(private readonly options: CrashGuardOptions) {
     options.suspects.attach(this.ledger);
   }
 
-  /** Throws a refusal for a call that must not be sent; waits for what its last run shows. */
+  /** Waits for a pending exit check of the call's last run, then throws a refusal if the call is quarantined. */
   public async admit(job: routedJobs.RoutedJob): Promise<void> {
-    const check = this.checks.size === 0 ? undefined : this.checks.get(job.getDigest());
+    const check = this.exitChecks.size === 0 ? undefined : this.exitChecks.get(job.getDigest());
     if (check !== undefined) {
-      await Promise.race([check, this.options.clock.sleep(CHECK_WAIT_MS)]);
+      await Promise.race([check, this.options.clock.sleep(MAX_CHECK_WAIT_MS)]);
     }
     if (this.ledger.size === 0) {
       return;
     }
-    const refused = this.ledger.findQuarantineRefusal(job.getDigest(), this.options.clock.now());
-    if (refused !== undefined) {
-      throw this.refuse(job, refused);
+    const refusal = this.ledger.findQuarantineRefusal(job.getDigest(), this.options.clock.now());
+    if (refusal !== undefined) {
+      throw this.refuse(job, refusal);
     }
   }
 
   /**
-   * Whether a call may be sent to an upstream that was picked for it; throws a refusal where it must not be sent.
-   * `mayShare` tells whether there is no better one for a suspect than where another runs.
+   * Decides whether a call may be sent to the upstream picked for it; throws a refusal if it must not be sent at all.
+   * `mayShare` returns true if a suspect has no alternative to an upstream that runs another suspect.
    */
   public async permit(
     job: routedJobs.RoutedJob,
@@ -99,81 +100,83 @@
     if (!this.isTracked(job)) {
       return { kind: 'go' };
     }
-    const isShared = mayShare();
-    const permit = await this.askPermit(job.getDigest(), getProcessId(known), isShared);
+    const mayShareProcess = mayShare();
+    const permit = await this.requestPermit(job.getDigest(), getProcessId(known), mayShareProcess);
     if (permit.kind === 'refused') {
       throw this.refuse(job, permit);
     }
-    // A leader of the version before says nothing of others; where there is a choice, it picks a process without them.
-    const isApart = permit.kind === 'go' && !isShared;
-    const isAlone = 'isAlone' in permit ? permit.isAlone === true : isApart;
-    this.permitted.set(job, { permit, isAlone });
+    // A leader of the previous version does not report other suspects. If it had a choice, it picked a process without
+    // them.
+    const isIsolated = permit.kind === 'go' && !mayShareProcess;
+    const isAlone = 'isAlone' in permit ? permit.isAlone === true : isIsolated;
+    this.permits.set(job, { permit, isAlone });
     if (permit.kind !== 'there') {
       return permit;
     }
     const { directory } = this.options;
-    const at = directory
+    const upstream = directory
       .listLive(job.call.service.name, job.call.regions)
       .find((other) => getProcessId(other) === permit.processId);
-    // Its list may lack the one yet, or no longer have it. Then the next best is to keep it where it was picked to go.
-    return at === undefined ? { kind: 'go' } : { kind: 'there', upstream: at };
+    // This host's list may not contain that process yet, or no longer. Then the picked upstream is the best remaining
+    // choice.
+    return upstream === undefined ? { kind: 'go' } : { kind: 'there', upstream };
   }
 
-  /** Notes how a run ended. */
-  public recordOutcome(job: routedJobs.RoutedJob, run: GuardedRun, end: RunOutcome): void {
-    const permitted = this.permitted.get(job);
-    this.permitted.delete(job);
-    if (end === 'not-run' && permitted !== undefined) {
+  /** Records the outcome of a run. */
+  public recordOutcome(job: routedJobs.RoutedJob, run: GuardedRun, outcome: RunOutcome): void {
+    const permitted = this.permits.get(job);
+    this.permits.delete(job);
+    if (outcome === 'not-run' && permitted !== undefined) {
       this.options.suspects.keepUnusedPermit(permitted.permit);
     }
-    if (end === 'lost') {
-      this.startCheck(job, run, permitted?.isAlone ?? false);
+    if (outcome === 'lost') {
+      this.startExitCheck(job, run, permitted?.isAlone ?? false);
       return;
     }
     if (!this.isTracked(job)) {
       return;
     }
     const digest = job.getDigest();
-    if (end === 'served') {
+    if (outcome === 'served') {
       this.ledger.clear(digest);
       this.options.suspects.report({ kind: 'served', digest });
     } else {
-      this.noteOver(digest, run);
+      this.reportInconclusive(digest, run);
     }
   }
 
-  /** Whether anything is held against a call; while nothing is held against any, no digest is made. */
+  /** Returns whether the ledger has an entry for a call; with an empty ledger no digest is computed. */
   private isTracked(job: routedJobs.RoutedJob): boolean {
     return this.ledger.size > 0 && this.ledger.has(job.getDigest());
   }
 
-  private noteOver(digest: string, { known }: GuardedRun): void {
+  private reportInconclusive(digest: string, { known }: GuardedRun): void {
     const processId = getProcessId(known);
     this.ledger.recordInconclusiveRun(digest, processId);
     this.options.suspects.report({ kind: 'over', digest, processId });
   }
 
-  private startCheck(job: routedJobs.RoutedJob, run: GuardedRun, wasAlone: boolean): void {
+  private startExitCheck(job: routedJobs.RoutedJob, run: GuardedRun, wasAlone: boolean): void {
     const digest = job.getDigest();
-    const check = this.check(job, run, wasAlone).finally(() => {
-      if (this.checks.get(digest) === check) {
-        this.checks.delete(digest);
+    const check = this.checkExit(job, run, wasAlone).finally(() => {
+      if (this.exitChecks.get(digest) === check) {
+        this.exitChecks.delete(digest);
       }
     });
-    this.checks.set(digest, check);
+    this.exitChecks.set(digest, check);
   }
 
-  /** Finds out whether the upstream's process ended under the run. */
-  private async check(
+  /** Checks whether the upstream's process exited during the run, and reports it. */
+  private async checkExit(
     job: routedJobs.RoutedJob,
     run: GuardedRun,
     wasAlone: boolean,
   ): Promise<void> {
-    const { clock, directory, endCheck, suspects: link, log } = this.options;
-    const { answerStartedAt: begunAt, known } = run;
+    const { clock, directory, endCheck, suspects, log } = this.options;
+    const { answerStartedAt, known } = run;
     const { upstreamId } = known;
-    const isEarly = begunAt === undefined || clock.now() - begunAt < SEASONED_MS;
-    // One that leaves as announced ends under whatever it still runs.
+    const isEarly = answerStartedAt === undefined || clock.now() - answerStartedAt < EARLY_CRASH_MS;
+    // An upstream that leaves as announced exits during whatever it still runs.
     const isAnnounced = directory.isLeaving(upstreamId);
     const digest = job.getDigest();
     const request = job.call.facts.requestId;
@@ -185,27 +188,30 @@
     log.info({ event: 'process-ended', upstream: upstreamId, digest });
     directory.noteUnreachable(upstreamId);
     const processId = getProcessId(known);
-    // The host that gave the permit may have lost the lead meanwhile, and the next leader knows nothing of the run.
-    const end = { processId, isEarly, wasAlone };
-    this.ledger.recordProcessEnd(digest, end, clock.now());
-    const noted = this.ledger.find(digest)?.ends.find((item) => item.processId === processId);
-    link.report({ kind: 'ended', digest, end: noted ?? end });
+    // The leader that granted the permit may have been replaced, and the next leader has no record of the run.
+    const processEnd = { processId, isEarly, wasAlone };
+    this.ledger.recordProcessEnd(digest, processEnd, clock.now());
+    const recorded = this.ledger.find(digest)?.ends.find((item) => item.processId === processId);
+    suspects.report({ kind: 'ended', digest, end: recorded ?? processEnd });
   }
 
-  /** The leader knows of all hosts; where nobody answers, this host keeps its own suspects apart. */
-  private async askPermit(
+  /**
+   * Requests a permit from the leader, which has the suspects of all hosts. Without an answer, decides by this host's
+   * ledger, which separates only the suspects that this host sends.
+   */
+  private async requestPermit(
     digest: string,
     processId: string,
     mayShare: boolean,
   ): Promise<routing.Permit> {
-    const { clock, suspects: link, log } = this.options;
-    const answer = await link.requestPermit({ digest, processId, mayShare });
+    const { clock, suspects, log } = this.options;
+    const answer = await suspects.requestPermit({ digest, processId, mayShare });
     if (answer !== undefined) {
       return answer;
     }
     const permit = this.ledger.permitWithoutLeader(digest, processId, mayShare, clock.now());
     if (permit.kind !== 'refused') {
-      link.dropPermitRequest(digest);
+      suspects.dropPermitRequest(digest);
     }
     log.info({ decision: 'suspect-alone', digest, upstream: processId, ...permit });
     return permit;
@@ -233,7 +239,7 @@
   }
 }
 
-/** A process that starts again under a name is another one. */
+/** Returns an id for a process; a restart under the same upstream id gives a different one. */
 function getProcessId({ listed, upstreamId }: upstreamDirectories.KnownUpstream): string {
   return listed.bornMs === undefined ? upstreamId : `${upstreamId}@${listed.bornMs}`;
 }
--- a/packages/gateway/src/suspect-client.ts
+++ b/packages/gateway/src/suspect-client.ts
@@ -5,226 +5,238 @@
 
 import type * as coreMeshes from './core-mesh.js';
 import type * as procedures from './core-procedures.js';
-import type * as relayClients from './suspect-relay-client.js';
+import type * as suspectRelayClients from './suspect-relay-client.js';
 
-/** How long the leader may take to answer, in milliseconds: a call waits for it. */
-const ANSWER_MS = 60;
+/** Timeout of a report or a synchronization with the leader, in milliseconds; short, because calls wait for reports. */
+const REQUEST_TIMEOUT_MS = 60;
 
-/**
- * How long a suspect waits for a leader that does not answer, in milliseconds; an election takes about as long.
- */
-const PERMIT_MS = 1_000;
+/** How long a suspect waits for a leader that does not answer, in milliseconds; about as long as an election. */
+const PERMIT_TIMEOUT_MS = 1_000;
 
-/** The pause before a question that was not answered yet is asked again, in milliseconds. */
-const ASK_AGAIN_MS = 200;
+/** Pause before an unanswered permit request is sent again, in milliseconds. */
+const PERMIT_RETRY_MS = 200;
 
-/** How many questions without a usable answer are remembered; the oldest goes first. */
-const MOST_QUESTIONS = 1_000;
+/** Maximum number of permit requests without a usable answer that are kept; the oldest is dropped first. */
+const MAX_UNANSWERED = 1_000;
 
-/** The pause before something that the leader did not take is told again, in milliseconds. */
-const AGAIN_MS = 100;
+/** Pause before reports that no leader has received are sent again, in milliseconds. */
+const REPORT_RETRY_MS = 100;
 
-/** How many reports are kept for a leader that does not answer; the oldest goes first. */
-const MOST_REPORTS = 1_000;
+/** Maximum number of reports kept for a leader that does not answer; the oldest is dropped first. */
+const MAX_REPORTS = 1_000;
 
-/** Stands for the term of a leader where none was heard yet. */
+/** The term value before the first contact with a leader. */
 export const NO_TERM = -1;
 
-/** A question for a permit: the call, and the question's own id. */
-interface PermitQuestion {
+/** A permit request: the digest of the call and the id of the request. */
+interface PermitRequest {
   readonly digest: string;
   readonly permitId: string;
 }
 
-/** What the link needs. */
+/** Dependencies of the suspect client. */
 export interface SuspectClientOptions {
   readonly mesh: coreMeshes.CorePeers;
   readonly findLeader: () => string | undefined;
   readonly hostId: string;
-  /** Reaches other hosts while there is no leader; left out, each host is by itself then. */
-  readonly relays?: relayClients.SuspectRelayClient;
+  /**
+   * Exchanges suspects with other hosts while there is no leader; if omitted, this host uses only its own ledger then.
+   */
+  readonly relays?: suspectRelayClients.SuspectRelayClient;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
 }
 
 /**
- * Shares what this host knows of suspects with all others, by way of the leader. A new leader knows nothing: it is told
- * everything first, and only then is its word taken, so that what was known outlives every leader.
+ * Shares this host's suspects with all others through the leader. A new leader may lack them, so this host sends all of
+ * its suspects before it applies that leader's updates. Thus suspects survive every change of the leader.
  */
 export class SuspectClient {
   private ledger: routing.CrashLedger | undefined;
   private reports: procedures.SuspectOutcome[] = [];
-  private informedTerm = NO_TERM;
-  private known = { term: NO_TERM, revision: -1 };
-  /** The ids of questions for a permit that had no usable answer, by the call's digest. */
-  private readonly unanswered = new Map<string, string>();
-  /** The question that each permit answers. */
-  private readonly granted = new WeakMap<routing.Permit, PermitQuestion>();
-  private sending: Promise<boolean> | undefined;
-  private isWaiting = false;
+  private synchronizedTerm = NO_TERM;
+  private cursor = { term: NO_TERM, revision: -1 };
+  /** Ids of permit requests without a usable answer, by call digest. */
+  private readonly unansweredIds = new Map<string, string>();
+  /** The request that each permit answers. */
+  private readonly requestsByPermit = new WeakMap<routing.Permit, PermitRequest>();
+  private sendingReports: Promise<boolean> | undefined;
+  private isRetryScheduled = false;
   private isStopped = false;
 
   public constructor(private readonly options: SuspectClientOptions) {}
 
-  /** Says what this host knows by, before anything is shared. */
+  /** Sets the ledger of this host's suspects, before anything is shared, and starts the relay client. */
   public attach(ledger: routing.CrashLedger): void {
     const { clock, relays } = this.options;
     this.ledger = ledger;
-    // What one core host has been told need not be all there is, so nothing that is known here goes.
+    // One core host may not have all suspects, so its changes never remove entries that it lacks.
     void relays?.run((changes) => ledger.apply({ ...changes, isWhole: false }, clock.now()));
   }
 
-  /** What this host has last learned. */
+  /** Returns the term and revision of the last updates applied. */
   public getReceivedRevision(): procedures.SuspectCursor {
-    return this.known;
+    return this.cursor;
   }
 
-  /** Takes what a leader tells of all hosts' suspects. */
+  /** Applies a leader's updates about the suspects of all hosts. */
   public applyUpdates({ changes, term }: procedures.SuspectUpdates): void {
-    if (this.informedTerm === NO_TERM && this.ledger?.size === 0) {
-      // A host that has just started has nothing to tell. It is ready with this answer, and must know by then.
-      this.informedTerm = term;
+    if (this.synchronizedTerm === NO_TERM && this.ledger?.size === 0) {
+      // A host that has just started has no suspects to send. It becomes ready with this answer, so it must apply it
+      // now.
+      this.synchronizedTerm = term;
     }
-    if (term !== this.informedTerm) {
-      void this.inform(term);
+    if (term !== this.synchronizedTerm) {
+      void this.sendSuspects(term);
       return;
     }
     const now = this.options.clock.now();
     this.ledger?.apply(changes, now);
-    // What the leader has not heard yet stays.
+    // Records the process ends again that the leader has not received yet.
     this.reports.forEach((run) => {
       if (run.kind === 'ended') {
         this.ledger?.recordProcessEnd(run.digest, run.end, now);
       }
     });
-    this.known = { term, revision: changes.revision };
+    this.cursor = { term, revision: changes.revision };
   }
 
-  /** Takes what is quarantined in the log, before this host has heard a leader. */
+  /** Merges the calls that are quarantined in the replicated log, before the first contact with a leader. */
   public applyQuarantined(all: readonly routing.SuspectFacts[]): void {
     this.ledger?.merge(all, this.options.clock.now());
   }
 
-  /** Tells the leader what a run has shown; again and again until some leader has it. */
+  /** Reports the outcome of a run to the leader; repeats it until a leader has received it. */
   public report(run: procedures.SuspectOutcome): void {
-    this.reports = [...this.reports, run].slice(-MOST_REPORTS);
-    void this.send();
+    this.reports = [...this.reports, run].slice(-MAX_REPORTS);
+    void this.flushReports();
   }
 
   /**
-   * Whether a suspect may be sent to an upstream; nothing where nobody answers that may know of other hosts' runs. Asked
-   * again after no answer came, the question has the same id: the leader may have counted the send already.
+   * Requests a permit to send a suspect to an upstream; undefined if neither the leader nor a relay answers. A request
+   * that is repeated after a missing answer keeps its id, since the leader may already have counted the send.
    */
   public async requestPermit(
     req: Pick<procedures.SuspectPermitReq, 'digest' | 'mayShare' | 'processId'>,
   ): Promise<routing.Permit | undefined> {
     const { digest } = req;
-    const permitId = this.unanswered.get(digest) ?? crypto.randomUUID();
-    this.unanswered.delete(digest);
+    const permitId = this.unansweredIds.get(digest) ?? crypto.randomUUID();
+    this.unansweredIds.delete(digest);
     const { hostId } = this.options;
     const facts = this.ledger?.find(digest);
-    const permit = await this.askUntilAnswered({ ...req, hostId, permitId, facts });
+    const permit = await this.requestUntilAnswered({ ...req, hostId, permitId, facts });
     if (permit === undefined || permit.kind === 'refused') {
-      this.keepQuestion({ digest, permitId });
+      this.keepRequest({ digest, permitId });
     } else {
-      this.granted.set(permit, { digest, permitId });
+      this.requestsByPermit.set(permit, { digest, permitId });
     }
     return permit;
   }
 
-  /** Forgets a question without an answer: its call is sent all the same. */
+  /** Drops an unanswered request, because its call is sent without the leader's permit. */
   public dropPermitRequest(digest: string): void {
-    this.unanswered.delete(digest);
+    this.unansweredIds.delete(digest);
   }
 
-  /** Keeps a permit that reached no upstream for the next question: the leader has counted its send. */
+  /**
+   * Keeps the id of a permit whose call reached no upstream for the next request, since the leader has counted the
+   * send.
+   */
   public keepUnusedPermit(permit: routing.Permit): void {
-    const question = this.granted.get(permit);
-    this.granted.delete(permit);
-    if (question !== undefined) {
-      this.keepQuestion(question);
+    const request = this.requestsByPermit.get(permit);
+    this.requestsByPermit.delete(permit);
+    if (request !== undefined) {
+      this.keepRequest(request);
     }
   }
 
-  /** Ends every task. */
+  /** Stops all tasks. */
   public stop(): void {
     this.isStopped = true;
     this.options.relays?.stop();
   }
 
-  private keepQuestion({ digest, permitId }: PermitQuestion): void {
-    this.unanswered.delete(digest);
-    this.unanswered.set(digest, permitId);
-    if (this.unanswered.size > MOST_QUESTIONS) {
-      const [oldest] = this.unanswered.keys();
-      this.unanswered.delete(oldest!);
+  private keepRequest({ digest, permitId }: PermitRequest): void {
+    this.unansweredIds.delete(digest);
+    this.unansweredIds.set(digest, permitId);
+    if (this.unansweredIds.size > MAX_UNANSWERED) {
+      const [oldest] = this.unansweredIds.keys();
+      this.unansweredIds.delete(oldest!);
     }
   }
 
-  /** Asks the leader again and again, and beside it whoever else can tell; the first answer counts. */
-  private async askUntilAnswered(
+  /**
+   * Repeats the request to the leader, and sends it to the relays when the leader does not answer; returns the first
+   * answer.
+   */
+  private async requestUntilAnswered(
     req: procedures.SuspectPermitReq,
   ): Promise<routing.Permit | undefined> {
     const { clock } = this.options;
-    const end = clock.now() + PERMIT_MS;
-    const asked: Promise<routing.Permit | undefined>[] = [];
+    const deadlineAt = clock.now() + PERMIT_TIMEOUT_MS;
+    const pending: Promise<routing.Permit | undefined>[] = [];
     for (;;) {
-      asked.push(this.askLeader(req, end - clock.now()));
-      const pause = clock.sleep(ASK_AGAIN_MS);
-      const permit = (await findAnswer(asked, pause)) ?? (await this.askRelays(req));
+      pending.push(this.requestFromLeader(req, deadlineAt - clock.now()));
+      const pause = clock.sleep(PERMIT_RETRY_MS);
+      const permit = (await findAnswer(pending, pause)) ?? (await this.requestFromRelays(req));
       if (permit !== undefined || this.isStopped) {
         return permit;
       }
       await pause;
-      if (clock.now() + ASK_AGAIN_MS > end) {
+      if (clock.now() + PERMIT_RETRY_MS > deadlineAt) {
         return undefined;
       }
     }
   }
 
-  /** Reports go first; without them a relay takes a run that is over for one under way. */
-  private async askRelays(req: procedures.SuspectPermitReq): Promise<routing.Permit | undefined> {
+  /** Sends the reports first; without them a relay would take a run that has ended for a current one. */
+  private async requestFromRelays(
+    req: procedures.SuspectPermitReq,
+  ): Promise<routing.Permit | undefined> {
     const { relays } = this.options;
     await relays?.report(this.reports);
     return relays?.requestPermit(req);
   }
 
-  private async askLeader(
+  private async requestFromLeader(
     req: procedures.SuspectPermitReq,
     deadlineMs: number,
   ): Promise<routing.Permit | undefined> {
     while (this.reports.length > 0) {
-      if (!(await this.send())) {
+      if (!(await this.flushReports())) {
         return undefined;
       }
     }
-    return this.ask((api) => api.permitSuspect.mutate(req, { context: { deadlineMs } }));
+    return this.request((api) => api.permitSuspect.mutate(req, { context: { deadlineMs } }));
   }
 
-  /** Tells a leader all that is known here. */
-  private async inform(term: number): Promise<void> {
+  /** Sends all suspects of this host to a new leader. */
+  private async sendSuspects(term: number): Promise<void> {
     const { hostId } = this.options;
     const suspects = this.ledger?.listSuspects() ?? [];
-    const res = await this.ask((api) =>
-      api.shareSuspects.mutate({ hostId, suspects }, { context: { deadlineMs: ANSWER_MS } }),
+    const res = await this.request((api) =>
+      api.shareSuspects.mutate(
+        { hostId, suspects },
+        { context: { deadlineMs: REQUEST_TIMEOUT_MS } },
+      ),
     );
     if (res?.term === term) {
-      this.informedTerm = term;
+      this.synchronizedTerm = term;
     }
   }
 
-  private send(): Promise<boolean> {
-    this.sending ??= this.sendReports().finally(() => {
-      this.sending = undefined;
+  private flushReports(): Promise<boolean> {
+    this.sendingReports ??= this.sendReports().finally(() => {
+      this.sendingReports = undefined;
     });
-    return this.sending;
+    return this.sendingReports;
   }
 
   private async sendReports(): Promise<boolean> {
     const { hostId } = this.options;
     const runs = this.reports;
-    const res = await this.ask((api) =>
-      api.reportSuspects.mutate({ hostId, runs }, { context: { deadlineMs: ANSWER_MS } }),
+    const res = await this.request((api) =>
+      api.reportSuspects.mutate({ hostId, runs }, { context: { deadlineMs: REQUEST_TIMEOUT_MS } }),
     );
     const isTaken = res !== undefined || (await this.options.relays?.report(runs)) === true;
     if (isTaken) {
@@ -232,31 +244,34 @@
       this.reports = this.reports.filter((run) => !sent.has(run));
       return true;
     }
-    void this.sendAgain();
+    void this.scheduleRetry();
     return false;
   }
 
-  /** One at a time: each call of a suspect tries to send as well, and a cut may last for minutes. */
-  private async sendAgain(): Promise<void> {
-    if (this.isWaiting) {
+  /**
+   * Schedules at most one retry at a time: each permit request sends reports as well, and a network partition may last
+   * for minutes.
+   */
+  private async scheduleRetry(): Promise<void> {
+    if (this.isRetryScheduled) {
       return;
     }
-    this.isWaiting = true;
-    await this.options.clock.sleep(AGAIN_MS);
-    this.isWaiting = false;
+    this.isRetryScheduled = true;
+    await this.options.clock.sleep(REPORT_RETRY_MS);
+    this.isRetryScheduled = false;
     if (!this.isStopped && this.reports.length > 0) {
-      await this.send();
+      await this.flushReports();
     }
   }
 
-  private async ask<T>(question: (api: coreMeshes.CoreApi) => Promise<T>): Promise<T | undefined> {
+  private async request<T>(send: (api: coreMeshes.CoreApi) => Promise<T>): Promise<T | undefined> {
     const { findLeader, log, mesh } = this.options;
     const leader = findLeader();
     if (leader === undefined || this.isStopped) {
       return undefined;
     }
     try {
-      return await question(mesh.get(leader));
+      return await send(mesh.get(leader));
     } catch (err) {
       log.debug({ step: 'suspects', peer: leader, err: schemas.toError(err).message });
       return undefined;
@@ -264,19 +279,19 @@
   }
 }
 
-/** The first answer; nothing when the pause is over before one came, or all questions have failed. */
+/** Returns the first answer; undefined if the pause ends before one arrives or all requests have failed. */
 async function findAnswer<T>(
-  asked: readonly Promise<T | undefined>[],
+  pending: readonly Promise<T | undefined>[],
   pause: Promise<void>,
 ): Promise<T | undefined> {
-  const answers = asked.map(async (question) => {
-    const answer = await question;
+  const answers = pending.map(async (request) => {
+    const answer = await request;
     if (answer === undefined) {
       throw new Error('no answer');
     }
     return answer;
   });
-  // A question that failed was logged where it was asked.
+  // A failed request was logged where it was sent.
   const first = Promise.any(answers).catch(() => undefined);
   return Promise.race([first, pause.then(() => undefined)]);
 }
--- a/packages/gateway/src/suspect-registry.ts
+++ b/packages/gateway/src/suspect-registry.ts
@@ -5,71 +5,76 @@
 import type * as procedures from './core-procedures.js';
 
 /**
- * After which time a leader knows of all runs of suspects, in milliseconds: what was sent by a permit of the one before is
- * over.
+ * Time after which a new leader has a record of all runs of suspects, in milliseconds: those that its predecessor
+ * permitted have ended by then.
  */
-const FULL_VIEW_MS = 2_000;
+const COMPLETE_VIEW_MS = 2_000;
 
-/** What the desk needs. */
+/** Dependencies of the suspect registry. */
 export interface SuspectRegistryOptions {
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly metrics: telemetry.MetricSink;
-  /** Quarantined calls in the replicated log, and how to put them there; resolves once a majority has it. */
+  /**
+   * Quarantined calls in the replicated log, and the function that proposes entries; it resolves once a majority has
+   * the entry.
+   */
   readonly quarantine: routing.QuarantineState;
   readonly propose: (entry: routing.QuarantineEntry) => Promise<unknown>;
 }
 
-/** The leader's account of calls under which upstreams ended, for all hosts. */
+/** The leader's registry of calls during which upstreams crashed, for all hosts. */
 export class SuspectRegistry {
-  /** Tells that hosts have to learn something. */
+  /** Notifies when there are updates for the hosts. */
   public readonly changed = new schemas.ChangeSignal();
   private ledger = new routing.CrashLedger();
   private term = -1;
-  private ledSince = 0;
+  private leadingSince = 0;
 
   public constructor(private readonly options: SuspectRegistryOptions) {}
 
   /**
-   * Begins to lead, with what the log holds; again in the same term it changes nothing. What was known in a former
-   * leadership may have been cleared since, and the hosts tell what they know.
+   * Starts a term as the leader with the entries of the replicated log; has no effect if the term has already started.
+   * Entries of a former leadership are dropped, since they may have been cleared meanwhile, and the hosts send theirs.
    */
   public startLeading(term: number): void {
     if (this.term !== term) {
       this.term = term;
-      this.ledSince = this.options.clock.now();
+      this.leadingSince = this.options.clock.now();
       this.ledger = new routing.CrashLedger();
       this.merge(this.options.quarantine.list());
     }
   }
 
-  /** Takes what a host found out. */
+  /** Records the runs that a host reports. */
   public report({ hostId, runs }: procedures.SuspectReport): void {
     runs.forEach((run) => {
       if (run.kind === 'ended') {
-        this.noteEnd(hostId, run.digest, run.end);
+        this.recordProcessEnd(hostId, run.digest, run.end);
       } else if (run.kind === 'served') {
-        this.noteServed(hostId, run.digest);
+        this.recordServed(hostId, run.digest);
       } else {
         this.ledger.recordInconclusiveRun(run.digest, run.processId);
       }
     });
   }
 
-  /** Takes all that a host knows; it has heard of this leader for the first time. */
+  /** Merges the suspects that a host sends, such as all of its own at its first contact with this leader. */
   public merge(all: readonly routing.SuspectFacts[]): void {
     if (!this.ledger.merge(all, this.options.clock.now())) {
       return;
     }
     this.changed.notify();
-    const isKept = new Set(this.options.quarantine.list().map(({ digest }) => digest));
+    const loggedDigests = new Set(this.options.quarantine.list().map(({ digest }) => digest));
     all
       .map(({ digest }) => digest)
-      .filter((digest) => this.ledger.getStanding(digest) === 'quarantined' && !isKept.has(digest))
-      .forEach((digest) => this.recordLater(digest));
+      .filter(
+        (digest) => this.ledger.getStanding(digest) === 'quarantined' && !loggedDigests.has(digest),
+      )
+      .forEach((digest) => this.recordInBackground(digest));
   }
 
-  /** Whether a suspect may be sent to an upstream. */
+  /** Decides whether a suspect may be sent to an upstream. */
   public async permit(req: procedures.SuspectPermitReq): Promise<routing.Permit> {
     const { digest, facts, hostId, mayShare, permitId, processId } = req;
     const { clock, log } = this.options;
@@ -83,7 +88,8 @@
       this.changed.notify();
     }
     if (permit.kind !== 'refused' && standing === 'quarantined' && !this.isRecorded(digest)) {
-      // That it is sent once more is in the log before the call is sent: the next leader must not allow it again.
+      // The additional send is committed to the log before the call is sent, so that the next leader does not permit it
+      // again.
       await this.record(digest);
     }
     log.info({
@@ -98,28 +104,33 @@
     return permit;
   }
 
-  /** The same with what the host needs to tell of the run if this one leads no longer when it ends. */
+  /**
+   * Like `permit`, and states whether another suspect runs on the process. The host reports that with the end of the
+   * run, in case another host leads by then.
+   */
   public async permitWithFacts(req: procedures.SuspectPermitReq): Promise<routing.Permit> {
     return this.ledger.addIsolation(await this.permit(req), req.digest);
   }
 
-  /** What a host lacks, as the leader of a term tells it; one that knows of another leader gets all. */
+  /** Returns the updates that a host lacks; a host whose last updates are of another term gets all suspects. */
   public findUpdates(
-    known: procedures.SuspectCursor,
+    cursor: procedures.SuspectCursor,
     term: number,
   ): procedures.SuspectUpdates | undefined {
-    if (known.term !== term) {
+    if (cursor.term !== term) {
       return { term, changes: this.ledger.listChangesSince(-1) };
     }
-    const isCurrent = known.revision === this.ledger.getRevision();
-    return isCurrent ? undefined : { term, changes: this.ledger.listChangesSince(known.revision) };
+    const isCurrent = cursor.revision === this.ledger.getRevision();
+    return isCurrent ? undefined : { term, changes: this.ledger.listChangesSince(cursor.revision) };
   }
 
-  private noteEnd(hostId: string, digest: string, end: routing.ProcessEnd): void {
+  private recordProcessEnd(hostId: string, digest: string, end: routing.ProcessEnd): void {
     const { clock, log, metrics } = this.options;
     const before = this.ledger.getStanding(digest);
     const now = clock.now();
-    if (!this.ledger.recordProcessEnd(digest, end, now, now - this.ledSince >= FULL_VIEW_MS)) {
+    if (
+      !this.ledger.recordProcessEnd(digest, end, now, now - this.leadingSince >= COMPLETE_VIEW_MS)
+    ) {
       return;
     }
     const standing = this.ledger.getStanding(digest);
@@ -135,18 +146,18 @@
       metrics.count('suspects', { standing });
     }
     if (standing === 'quarantined') {
-      this.recordLater(digest);
+      this.recordInBackground(digest);
     }
     this.changed.notify();
   }
 
-  /** Whether the log holds how often a quarantined call was sent. */
+  /** Returns whether the log has the current number of additional sends of a quarantined call. */
   private isRecorded(digest: string): boolean {
     const held = this.options.quarantine.find(digest);
     return held !== undefined && held.chances === this.ledger.find(digest)?.chances;
   }
 
-  /** Puts what is held against a call into the log. */
+  /** Proposes the facts about a call to the log, or that it is cleared. */
   private async record(digest: string): Promise<void> {
     const facts = this.ledger.find(digest);
     const quarantine =
@@ -156,22 +167,22 @@
     await this.options.propose({ quarantine });
   }
 
-  /** The same where nobody waits for it; if it fails the hosts tell the next leader, which puts it there. */
-  private recordLater(digest: string): void {
+  /** Does the same in the background. If it fails, the hosts send the facts to the next leader, which proposes them. */
+  private recordInBackground(digest: string): void {
     this.record(digest).catch((err: unknown) => {
       const { message } = schemas.toError(err);
       this.options.log.warn({ step: 'record-quarantine', digest, err: message });
     });
   }
 
-  private noteServed(hostId: string, digest: string): void {
+  private recordServed(hostId: string, digest: string): void {
     const { log, metrics } = this.options;
     const standing = this.ledger.getStanding(digest);
     if (this.ledger.clear(digest)) {
       log.info({ decision: 'suspect-cleared', digest, standing, peer: hostId });
       metrics.count('suspects', { standing: 'cleared' });
       if (standing === 'quarantined') {
-        this.recordLater(digest);
+        this.recordInBackground(digest);
       }
       this.changed.notify();
     }
--- a/packages/gateway/src/suspect-relay-client.ts
+++ b/packages/gateway/src/suspect-relay-client.ts
@@ -4,88 +4,90 @@
 import type * as coreMeshes from './core-mesh.js';
 import type * as procedures from './core-procedures.js';
 
-/** How long one core host may take to answer, in milliseconds: a call waits for it. */
-const ANSWER_MS = 60;
+/** Timeout of a request to one core host, in milliseconds; short, because a call waits for the answer. */
+const REQUEST_TIMEOUT_MS = 60;
 
-/** How long a core host keeps the question for news open, in milliseconds. */
-const WAIT_MS = 500;
+/** How long a core host holds a request for updates, in milliseconds. */
+const POLL_WAIT_MS = 500;
 
-/** How long its answer may take beyond that, in milliseconds. */
-const LATE_MS = 300;
+/** Additional time for the answer to such a request, in milliseconds. */
+const POLL_MARGIN_MS = 300;
 
-/** The pause after a core host did not answer, or hears a leader that this host does not, in milliseconds. */
-const PAUSE_MS = 25;
+/** Pause after a core host did not answer, or has a leader that this host does not reach, in milliseconds. */
+const RETRY_PAUSE_MS = 25;
 
-/** How often it is looked whether the leader was lost where nothing told so, in milliseconds. */
-const LOOK_MS = 2_000;
+/** Interval at which the loss of the leader is checked for without a notification, in milliseconds. */
+const LEADER_CHECK_MS = 2_000;
 
-/** What the client needs. */
+/** Dependencies of the relay client. */
 export interface SuspectRelayClientOptions {
   readonly mesh: coreMeshes.CorePeers;
   readonly hostId: string;
   readonly listCores: () => readonly string[];
   readonly reachesLeader: () => boolean;
-  /** Tells that a leader was lost or found. */
+  /** Notifies when a leader is lost or found. */
   readonly leaderChanged: schemas.ChangeSignal;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
 }
 
-/** Shares what is known of suspects through the core hosts that can be reached while the leader can't. */
+/** Exchanges suspects with other hosts through the core hosts that can be reached while the leader cannot. */
 export class SuspectRelayClient {
-  private readonly told = new WeakSet<procedures.SuspectOutcome>();
-  private known = { epoch: 0, revision: -1 };
+  private readonly reported = new WeakSet<procedures.SuspectOutcome>();
+  private cursor = { epoch: 0, revision: -1 };
   private failures = 0;
   private isStopped = false;
 
   public constructor(private readonly options: SuspectRelayClientOptions) {}
 
-  /** Takes what other hosts have told while the leader can't be reached, until stopped. */
-  public async run(take: (changes: routing.SuspectChanges) => void): Promise<void> {
+  /** Polls for the suspects that other hosts have reported while the leader cannot be reached, until stopped. */
+  public async run(onChanges: (changes: routing.SuspectChanges) => void): Promise<void> {
     const { clock, reachesLeader, leaderChanged } = this.options;
     while (!this.isStopped) {
       if (reachesLeader()) {
-        await leaderChanged.wait(clock, LOOK_MS);
+        await leaderChanged.wait(clock, LEADER_CHECK_MS);
       } else {
-        await this.follow(take);
+        await this.poll(onChanges);
       }
     }
   }
 
-  /** Ends the task. */
+  /** Stops the task. */
   public stop(): void {
     this.isStopped = true;
   }
 
-  /** Tells every core host, each run once; gives whether one of them could pass it on to the leader. */
+  /** Reports runs to every core host, each run once; returns whether one of them could forward them to the leader. */
   public async report(runs: readonly procedures.SuspectOutcome[]): Promise<boolean> {
     const { hostId, listCores } = this.options;
-    const fresh = runs.filter((run) => !this.told.has(run));
-    if (fresh.length === 0) {
+    const unreported = runs.filter((run) => !this.reported.has(run));
+    if (unreported.length === 0) {
       return false;
     }
-    const context = { deadlineMs: ANSWER_MS };
+    const context = { deadlineMs: REQUEST_TIMEOUT_MS };
     const answers = await Promise.all(
       listCores().map((coreId) =>
-        this.ask(coreId, (api) => api.relaySuspects.mutate({ hostId, runs: fresh }, { context })),
+        this.request(coreId, (api) =>
+          api.relaySuspects.mutate({ hostId, runs: unreported }, { context }),
+        ),
       ),
     );
     if (answers.some((answer) => answer !== undefined)) {
-      fresh.forEach((run) => this.told.add(run));
+      unreported.forEach((run) => this.reported.add(run));
     }
     return answers.some((answer) => answer?.isTaken === true);
   }
 
   /**
-   * Asks the core hosts in an order that is the same at every entry host, so that those which reach the same core hosts ask
-   * the same one first; nothing where none answers.
+   * Requests a permit from the core hosts, in an order that is the same on every entry host, so that hosts which reach
+   * the same core hosts use the same one first. Returns undefined if none answers.
    */
   public async requestPermit(
     req: procedures.SuspectPermitReq,
   ): Promise<routing.Permit | undefined> {
-    const context = { deadlineMs: ANSWER_MS };
+    const context = { deadlineMs: REQUEST_TIMEOUT_MS };
     for (const coreId of schemas.rankByKey(req.digest, this.options.listCores())) {
-      const permit = await this.ask(coreId, (api) => api.relayPermit.mutate(req, { context }));
+      const permit = await this.request(coreId, (api) => api.relayPermit.mutate(req, { context }));
       if (permit !== undefined) {
         return permit;
       }
@@ -93,35 +95,35 @@
     return undefined;
   }
 
-  private async follow(take: (changes: routing.SuspectChanges) => void): Promise<void> {
+  private async poll(onChanges: (changes: routing.SuspectChanges) => void): Promise<void> {
     const { clock, hostId, listCores } = this.options;
     const cores = schemas.rankByKey(hostId, listCores());
     const target = cores[this.failures % Math.max(1, cores.length)];
-    const context = { deadlineMs: WAIT_MS + LATE_MS };
+    const context = { deadlineMs: POLL_WAIT_MS + POLL_MARGIN_MS };
     const res =
       target === undefined
         ? undefined
-        : await this.ask(target, (api) =>
-            api.awaitRelayed.mutate({ hostId, ...this.known, waitMs: WAIT_MS }, { context }),
+        : await this.request(target, (api) =>
+            api.awaitRelayed.mutate({ hostId, ...this.cursor, waitMs: POLL_WAIT_MS }, { context }),
           );
     if (res?.relayed !== undefined) {
       const { changes, epoch } = res.relayed;
-      this.known = { epoch, revision: changes.revision };
-      take(changes);
+      this.cursor = { epoch, revision: changes.revision };
+      onChanges(changes);
       return;
     }
-    this.known = { epoch: 0, revision: -1 };
+    this.cursor = { epoch: 0, revision: -1 };
     this.failures += res === undefined ? 1 : 0;
-    await clock.sleep(PAUSE_MS);
+    await clock.sleep(RETRY_PAUSE_MS);
   }
 
-  private async ask<T>(
+  private async request<T>(
     coreId: string,
-    question: (api: coreMeshes.CoreApi) => Promise<T>,
+    send: (api: coreMeshes.CoreApi) => Promise<T>,
   ): Promise<T | undefined> {
     const { log, mesh } = this.options;
     try {
-      return await question(mesh.get(coreId));
+      return await send(mesh.get(coreId));
     } catch (err) {
       log.debug({ step: 'relay-suspects', peer: coreId, err: schemas.toError(err).message });
       return undefined;
--- a/packages/gateway/src/suspect-relay.ts
+++ b/packages/gateway/src/suspect-relay.ts
@@ -5,80 +5,84 @@
 import type * as coreMeshes from './core-mesh.js';
 import type * as procedures from './core-procedures.js';
 
-/** How often a core host that was told of suspects looks whether a leader is back, in milliseconds. */
-const CHECK_MS = 200;
+/** Interval at which a core host with reported suspects checks whether a leader is back, in milliseconds. */
+const LEADER_CHECK_MS = 200;
 
-/** After how long without a question what was told is forgotten, in milliseconds; a host without a seat hears no leader. */
-const IDLE_MS = 5_000;
+/**
+ * Time without requests after which the reported suspects are dropped, in milliseconds. A host without a voter slot
+ * gets no heartbeats, so it cannot rely on the return of a leader for that.
+ */
+const RETENTION_MS = 5_000;
 
-/** How long a leader may take to answer what is passed on, in milliseconds; the entry host waits a little longer. */
-const PASS_ON_MS = 50;
+/** Timeout of a request forwarded to the leader, in milliseconds; slightly shorter than that of the entry host. */
+const FORWARD_TIMEOUT_MS = 50;
 
-/** What a leader does with suspects. */
-type LeaderDuties = Pick<procedures.CoreHandlers, 'reportSuspects' | 'permitSuspect'>;
+/** The leader's handlers of requests about suspects. */
+type LeaderHandlers = Pick<procedures.CoreHandlers, 'reportSuspects' | 'permitSuspect'>;
 
-/** What the relay needs. */
+/** Dependencies of the suspect relay. */
 export interface SuspectRelayOptions {
   readonly coreId: string;
   readonly findLeader: () => coreGroups.RecentLeader | undefined;
-  /** What this host does as the leader. */
-  readonly leaderHandlers: LeaderDuties;
+  /** This host's handlers for when it is the leader. */
+  readonly leaderHandlers: LeaderHandlers;
   readonly mesh: coreMeshes.CorePeers;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
 }
 
 /**
- * A core host's help for entry hosts that don't reach the leader. It passes on to the leader that it hears. While there is
- * none, it keeps what entry hosts tell of suspects for all that reach it: facts about a call merge in any order, and
- * without them every entry host would lose upstreams of its own to the same call. It keeps nothing once a leader is back,
- * since it would not learn what the leader clears.
+ * Relays suspects on a core host for entry hosts that cannot reach the leader. Forwards requests to the leader that
+ * this host is in contact with. While there is none, collects the suspects that entry hosts report and shares them with
+ * all hosts that reach it. Facts about a call merge in any order, and without them every entry host would lose
+ * upstreams of its own to the same call. Drops everything once a leader is back, since it would not receive what the
+ * leader clears.
  */
 export class SuspectRelay {
   private readonly changed = new schemas.ChangeSignal();
   private ledger = new routing.CrashLedger();
   private epoch = 1;
   private usedAt = -Infinity;
-  private isWatched = false;
+  private isExpiryScheduled = false;
   /** When the leader last failed to answer. */
-  private missedAt = -Infinity;
+  private leaderFailedAt = -Infinity;
 
   public constructor(private readonly options: SuspectRelayOptions) {}
 
-  /** Takes what runs at a host have shown; gives whether the leader has it. */
+  /** Forwards a host's report to the leader or else records it here; returns whether the leader has received it. */
   public async report(req: procedures.SuspectReport): Promise<{ readonly isTaken: boolean }> {
-    const taken = await this.passOn((duties) => duties.reportSuspects(req));
-    if (taken === undefined) {
-      this.keep(req);
+    const result = await this.forward((leader) => leader.reportSuspects(req));
+    if (result === undefined) {
+      this.recordReport(req);
     }
-    return { isTaken: taken !== undefined };
+    return { isTaken: result !== undefined };
   }
 
-  /** Whether a suspect may be sent to an upstream: by the leader's word, or as far as the hosts that reach this one know. */
+  /** Decides whether a suspect may be sent to an upstream: by the leader, or else by the suspects collected here. */
   public async permit(req: procedures.SuspectPermitReq): Promise<routing.Permit> {
-    return (await this.passOn((duties) => duties.permitSuspect(req))) ?? this.permitHere(req);
+    return (await this.forward((leader) => leader.permitSuspect(req))) ?? this.permitLocally(req);
   }
 
-  /** Answers a host: at once when there is news and no leader, else when its wait is over. */
+  /** Answers a request for updates: at once if there are updates and no leader, else when its wait ends. */
   public async awaitChanges(
     req: procedures.RelayedUpdatesReq,
   ): Promise<procedures.RelayedUpdatesRes> {
     const { clock } = this.options;
-    this.use();
-    const end = clock.now() + req.waitMs;
-    while ((this.hearsLeader() || !this.hasNews(req)) && clock.now() < end) {
-      await this.changed.wait(clock, Math.min(CHECK_MS, end - clock.now()));
+    this.noteUse();
+    const deadlineAt = clock.now() + req.waitMs;
+    while ((this.hasLeader() || !this.hasUpdates(req)) && clock.now() < deadlineAt) {
+      await this.changed.wait(clock, Math.min(LEADER_CHECK_MS, deadlineAt - clock.now()));
     }
-    if (this.hearsLeader()) {
+    if (this.hasLeader()) {
       return { relayed: undefined };
     }
     const since = req.epoch === this.epoch ? req.revision : -1;
     return { relayed: { epoch: this.epoch, changes: this.ledger.listChangesSince(since) } };
   }
 
-  private keep({ hostId, runs }: procedures.SuspectReport): void {
+  private recordReport({ hostId, runs }: procedures.SuspectReport): void {
     const { clock, log } = this.options;
-    this.use();
+    this.noteUse();
     runs.forEach((run) => {
       const { digest, kind } = run;
       if (kind === 'ended') {
@@ -94,10 +98,10 @@
     this.changed.notify();
   }
 
-  private permitHere(req: procedures.SuspectPermitReq): routing.Permit {
+  private permitLocally(req: procedures.SuspectPermitReq): routing.Permit {
     const { digest, facts, hostId, mayShare, processId } = req;
     const { clock, log } = this.options;
-    this.use();
+    this.noteUse();
     const now = clock.now();
     if (facts !== undefined && this.ledger.merge([facts], now)) {
       this.changed.notify();
@@ -109,61 +113,63 @@
     return this.ledger.addIsolation(permit, digest);
   }
 
-  private hearsLeader(): boolean {
+  private hasLeader(): boolean {
     return this.findLeader() !== undefined;
   }
 
-  /** A leader that failed to answer counts again when it is next heard. */
+  /** Returns the current leader; one that failed to answer is ignored until the next contact with it. */
   private findLeader(): string | undefined {
     const leader = this.options.findLeader();
-    return leader !== undefined && leader.lastContactAt > this.missedAt ? leader.coreId : undefined;
+    return leader !== undefined && leader.lastContactAt > this.leaderFailedAt
+      ? leader.coreId
+      : undefined;
   }
 
-  /** Asks the leader; nothing where none is heard or it does not answer. */
-  private async passOn<T>(question: (duties: LeaderDuties) => Promise<T>): Promise<T | undefined> {
-    const { clock, coreId, leaderHandlers: duties, log } = this.options;
+  /** Forwards a request to the leader; undefined if there is none or it does not answer. */
+  private async forward<T>(send: (leader: LeaderHandlers) => Promise<T>): Promise<T | undefined> {
+    const { clock, coreId, leaderHandlers, log } = this.options;
     const leader = this.findLeader();
     if (leader === undefined) {
       return undefined;
     }
     try {
-      return await question(leader === coreId ? duties : this.createRemoteDuties(leader));
+      return await send(leader === coreId ? leaderHandlers : this.createRemoteHandlers(leader));
     } catch (err) {
-      this.missedAt = clock.now();
+      this.leaderFailedAt = clock.now();
       this.changed.notify();
       log.info({ event: 'leader-missed', peer: leader, err: schemas.toError(err).message });
       return undefined;
     }
   }
 
-  private createRemoteDuties(leader: string): LeaderDuties {
+  private createRemoteHandlers(leader: string): LeaderHandlers {
     const api = this.options.mesh.get(leader);
-    const options = { context: { deadlineMs: PASS_ON_MS } };
+    const options = { context: { deadlineMs: FORWARD_TIMEOUT_MS } };
     return {
       reportSuspects: (req) => api.reportSuspects.mutate(req, options),
       permitSuspect: (req) => api.permitSuspect.mutate(req, options),
     };
   }
 
-  private hasNews({ epoch, revision }: procedures.RelayedUpdatesReq): boolean {
+  private hasUpdates({ epoch, revision }: procedures.RelayedUpdatesReq): boolean {
     return epoch === this.epoch ? revision < this.ledger.getRevision() : this.ledger.size > 0;
   }
 
-  private use(): void {
+  private noteUse(): void {
     this.usedAt = this.options.clock.now();
-    void this.forgetInTime();
+    void this.dropWhenUnused();
   }
 
-  private async forgetInTime(): Promise<void> {
-    if (this.isWatched) {
+  private async dropWhenUnused(): Promise<void> {
+    if (this.isExpiryScheduled) {
       return;
     }
     const { clock } = this.options;
-    this.isWatched = true;
-    while (!this.hearsLeader() && clock.now() - this.usedAt < IDLE_MS) {
-      await clock.sleep(CHECK_MS);
+    this.isExpiryScheduled = true;
+    while (!this.hasLeader() && clock.now() - this.usedAt < RETENTION_MS) {
+      await clock.sleep(LEADER_CHECK_MS);
     }
-    this.isWatched = false;
+    this.isExpiryScheduled = false;
     this.ledger = new routing.CrashLedger();
     this.epoch += 1;
   }
