--- a/packages/gateway/src/call-admission.ts
+++ b/packages/gateway/src/call-admission.ts
@@ -4,47 +4,47 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import type * as ports from './ports.js';
-import type * as routedStores from './routed-configuration-store.js';
+import type * as routedConfigurationStores from './routed-configuration-store.js';
 
-/** What a caller is told to wait while this host has no configuration, in seconds. */
-const NOT_READY_RETRY_S = 1;
+/** The Retry-After value while this host has no configuration, in seconds. */
+const NOT_READY_RETRY_AFTER_S = 1;
 
-/** A call that was admitted: where it may go, for whom, and until when. */
+/** An admitted call with its route, service, team and deadline. */
 export interface AdmittedCall {
   readonly facts: ports.CallFacts;
   readonly route: schemas.Route;
   readonly service: schemas.RoutedService;
   readonly team: schemas.KeyedTeam | undefined;
-  /** The regions whose upstreams may run it; nothing where all may. */
+  /** The regions whose upstreams may run it; undefined if all may. */
   readonly regions: ReadonlySet<string> | undefined;
   readonly method: string;
   readonly path: string;
   readonly limits: schemas.CallerLimits;
-  /** When it came, and when it must be answered, on this host's clock. */
+  /** Arrival time and deadline on this host's clock, in milliseconds. */
   readonly arrivedAt: number;
   readonly endsAt: number;
 }
 
-/** The one place where a routed call is admitted or refused by its head. */
+/** Admits or refuses routed calls by their request line and headers. */
 export class CallAdmission {
   public constructor(
-    private readonly store: routedStores.RoutedConfigurationStore,
+    private readonly store: routedConfigurationStores.RoutedConfigurationStore,
     private readonly wire: ports.CallWire,
     private readonly clock: schemas.Clock,
     private readonly random: () => number,
   ) {}
 
-  /** The version of the configuration by which calls are admitted. */
+  /** Returns the version of the configuration that admission uses. */
   public getVersion(): number {
     return this.store.getVersion();
   }
 
-  /** Admits a call, or throws the refusal. */
+  /** Admits a call, or throws a refusal. */
   public admit(req: http.IncomingMessage): AdmittedCall {
     const arrivedAt = this.clock.now();
     const table = this.store.findTable();
     if (table === undefined) {
-      throw createRefusal('notReady', 503, [], NOT_READY_RETRY_S);
+      throw createRefusal('notReady', 503, [], NOT_READY_RETRY_AFTER_S);
     }
     const { limits } = table.config;
     checkHeaderSize(req, limits);
@@ -89,7 +89,7 @@
   }
 }
 
-/** Where route and team both name regions, both bind. */
+/** Combines the regions of route and team: if both are set, only regions in both are allowed. */
 function intersect(
   one: readonly string[] | undefined,
   other: readonly string[] | undefined,
--- a/packages/gateway/src/evacuation-service.ts
+++ b/packages/gateway/src/evacuation-service.ts
@@ -4,26 +4,29 @@
 import type * as coreGroups from './core-group.js';
 import type * as leaderClients from './leader-client.js';
 
-/** How long an order is tried, in milliseconds: an operator without an answer sends it to another host after a second. */
-const ORDER_MS = 1_000;
+/**
+ * Time limit of one order, in milliseconds; an operator without an answer resends it to another host after a second.
+ */
+const ORDER_TIMEOUT_MS = 1_000;
 
-/** What taking orders needs. */
+/** Dependencies of the evacuation service. */
 export interface EvacuationServiceOptions {
   readonly group: coreGroups.CoreGroup;
   readonly leader: leaderClients.LeaderClient;
-  /** The availability zones of the deployment; nothing where the settings don't name them. */
+  /** Returns the availability zones of the deployment; undefined if the settings do not list them. */
   readonly listZones: () => readonly string[] | undefined;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
 }
 
-/** Takes operators' orders on availability zones, at whichever core host the operator reached. */
+/** Executes operators' evacuation orders for availability zones, on whichever core host receives them. */
 export class EvacuationService {
   public constructor(private readonly options: EvacuationServiceOptions) {}
 
   /**
-   * Orders that a zone gets no new work, or takes work again; resolves once a majority has synced it. The signal tells
-   * that the operator has left: the order may have been sent again, and withdrawn, through another host.
+   * Evacuates a zone, so that it gets no new work, or ends its evacuation; resolves once a majority has synced the
+   * entry. The signal aborts when the operator disconnects: the order may have been resent, and revoked, through
+   * another host.
    */
   public async setEvacuated(
     availabilityZone: string,
@@ -32,56 +35,56 @@
   ): Promise<intents.EvacuatedZones> {
     this.checkZone(availabilityZone);
     const { clock, log } = this.options;
-    const end = clock.now() + ORDER_MS;
-    let facts = await this.read(end, signal);
+    const deadlineAt = clock.now() + ORDER_TIMEOUT_MS;
+    let facts = await this.read(deadlineAt, signal);
     while (facts.zones.includes(availabilityZone) !== isEvacuated) {
-      if (clock.now() >= end) {
+      if (clock.now() >= deadlineAt) {
         throw createConflict();
       }
       const { revision } = facts;
       await this.propose(
         { availabilityZone, isEvacuated, expectedRevision: revision },
-        end,
+        deadlineAt,
         signal,
       );
-      facts = await this.read(end, signal);
+      facts = await this.read(deadlineAt, signal);
     }
     log.info({ decision: 'evacuate', availabilityZone, isEvacuated, revision: facts.revision });
     return facts;
   }
 
-  /** Puts an order into the log, as the leader. */
+  /** Proposes an order to the replicated log, as the leader. */
   public async proposeAsLeader(entry: intents.EvacuationEntry): Promise<intents.EvacuationResult> {
     const { result } = await this.options.group.getLeadership().propose(entry);
     return result as intents.EvacuationResult;
   }
 
-  /** Which zones are evacuated, as the leader; a majority confirms first that it still leads. */
+  /** Returns the evacuated zones, as the leader, after a majority has confirmed its leadership. */
   public async readAsLeader(): Promise<intents.EvacuatedZones> {
     await this.options.group.getLeadership().barrier();
     return this.options.group.evacuations.get();
   }
 
-  private read(end: number, signal: AbortSignal): Promise<intents.EvacuatedZones> {
+  private read(deadlineAt: number, signal: AbortSignal): Promise<intents.EvacuatedZones> {
     const { clock, leader } = this.options;
     return leader.request(
       () => this.readAsLeader(),
       (api, options) => api.readEvacuations.mutate(undefined, options),
-      end - clock.now(),
+      deadlineAt - clock.now(),
       signal,
     );
   }
 
   private async propose(
     evacuation: intents.EvacuationEntry['evacuation'],
-    end: number,
+    deadlineAt: number,
     signal: AbortSignal,
   ): Promise<void> {
     const { clock, leader } = this.options;
     await leader.request(
       () => this.proposeAsLeader({ evacuation }),
       (api, options) => api.evacuate.mutate({ evacuation }, options),
-      end - clock.now(),
+      deadlineAt - clock.now(),
       signal,
     );
   }
--- a/packages/gateway/src/leader-client.ts
+++ b/packages/gateway/src/leader-client.ts
@@ -2,71 +2,74 @@
 
 import type * as coreGroups from './core-group.js';
 import type * as coreMeshes from './core-mesh.js';
-import type * as coreTables from './core-host-registry.js';
+import type * as coreHostRegistries from './core-host-registry.js';
 
 /**
- * How long the leader may take over an order that another host hands it, in milliseconds: operators ask elsewhere
- * after a second without an answer, and a leader that has died must be found out before that.
+ * Timeout of a request that is forwarded to the leader, in milliseconds. Operators retry on another host after a second
+ * without an answer, and a failed leader must be detected before that.
  */
-const LEADER_MS = 800;
+const REQUEST_TIMEOUT_MS = 800;
 
-/** The pause before a leader is looked for again, in milliseconds. */
-const PAUSE_MS = 50;
+/** Pause before the next search for a leader, in milliseconds. */
+const RETRY_PAUSE_MS = 50;
 
-/** How a question to another host is limited. */
+/** Options of a request to another host. */
 export interface RequestOptions {
   readonly context: { readonly deadlineMs: number };
 }
 
-/** What the client needs. */
+/** Dependencies of the leader client. */
 export interface LeaderClientOptions {
   readonly coreId: string;
   readonly group: coreGroups.CoreGroup;
-  readonly table: coreTables.CoreHostRegistry;
+  readonly table: coreHostRegistries.CoreHostRegistry;
   readonly mesh: coreMeshes.CorePeers;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
 }
 
-/** Asks the leader of the core hosts, whichever of them that is; this host too may be it. */
+/** Sends requests to the leader of the core hosts, which may be this host. */
 export class LeaderClient {
   public constructor(private readonly options: LeaderClientOptions) {}
 
-  /** Asks until the time is over or the signal aborts; what is asked must bear being asked again. */
+  /** Tries until the time limit or an abort. The request may be executed more than once, so it must be idempotent. */
   public async request<T>(
-    here: () => Promise<T>,
-    there: (api: coreMeshes.CoreApi, options: RequestOptions) => Promise<T>,
+    local: () => Promise<T>,
+    remote: (api: coreMeshes.CoreApi, options: RequestOptions) => Promise<T>,
     durationMs: number,
     signal?: AbortSignal,
   ): Promise<T> {
     const { clock, coreId, mesh } = this.options;
-    const end = clock.now() + durationMs;
-    let last: unknown;
-    while (clock.now() < end) {
+    const deadlineAt = clock.now() + durationMs;
+    let lastError: unknown;
+    while (clock.now() < deadlineAt) {
       for (const candidate of this.listLeaders()) {
         signal?.throwIfAborted();
         try {
           return candidate === coreId
-            ? await here()
-            : await there(mesh.get(candidate), { context: { deadlineMs: LEADER_MS } });
+            ? await local()
+            : await remote(mesh.get(candidate), { context: { deadlineMs: REQUEST_TIMEOUT_MS } });
         } catch (err) {
-          last = err;
+          lastError = err;
         }
       }
-      await clock.sleep(PAUSE_MS);
+      await clock.sleep(RETRY_PAUSE_MS);
     }
-    const { message } = schemas.toError(last);
+    const { message } = schemas.toError(lastError);
     this.options.log.warn({ event: 'leader-lost', step: 'ask-leader', err: message });
     throw new schemas.Refusal({
       id: 'notLeader',
       step: 'ask-leader',
       status: 503,
       outcome: 'unknown',
-      cause: last,
+      cause: lastError,
     });
   }
 
-  /** The leader that this host knows of; else everyone, since a host without a seat hears no leader. */
+  /**
+   * Lists the hosts to try: only this host if it leads, else all others with the known leader first. A host without a
+   * voter slot gets no heartbeats, so it may have no leader on record.
+   */
   private listLeaders(): string[] {
     const { coreId, group, table } = this.options;
     if (group.voter?.leadership !== undefined) {
