--- a/packages/gateway/tests/evacuation-history.test.ts
+++ b/packages/gateway/tests/evacuation-history.test.ts
@@ -3,42 +3,44 @@
 
 import * as coreSites from './support/core-site.js';
 
-/** How many drawn schedules are played; more in a long run. */
+/** Number of drawn schedules that are run; increase it for a long run. */
 const RUNS = Number(process.env.EVACUATION_RUNS ?? 4);
 
 /** The first seed. */
 const SEED = Number(process.env.EVACUATION_SEED ?? 1);
 
-/** Orders and losses in one schedule. */
+/** Number of orders, documents and failures in one schedule. */
 const STEPS = 24;
 
-/** How long a host that is back may take before the next one is lost, in milliseconds. */
+/** Time that a restarted host has to catch up before the next failure, in milliseconds. */
 const CATCH_UP_MS = 4_000;
 
 const ZONES = ['a', 'b', 'c'] as const;
 
-/** What must be true of zones at any later time: for each, the last order that was acknowledged, unless one is in doubt. */
+/**
+ * The expected state of the zones: for each, the last acknowledged order, unless a later one has an unknown outcome.
+ */
 class ZoneHistory {
   private readonly last = new Map<string, boolean>();
-  private readonly inDoubt = new Set<string>();
+  private readonly unknownOutcome = new Set<string>();
 
   public note(zone: string, isEvacuated: boolean, isAcknowledged: boolean): void {
     if (isAcknowledged) {
       this.last.set(zone, isEvacuated);
-      this.inDoubt.delete(zone);
+      this.unknownOutcome.delete(zone);
     } else {
-      this.inDoubt.add(zone);
+      this.unknownOutcome.add(zone);
     }
   }
 
-  public findFault(zones: readonly string[]): string | undefined {
-    return ZONES.filter((zone) => !this.inDoubt.has(zone)).find(
+  public findViolation(zones: readonly string[]): string | undefined {
+    return ZONES.filter((zone) => !this.unknownOutcome.has(zone)).find(
       (zone) => zones.includes(zone) !== (this.last.get(zone) ?? false),
     );
   }
 }
 
-async function playSchedule(seed: number): Promise<string | undefined> {
+async function runSchedule(seed: number): Promise<string | undefined> {
   const rng = xoroshiro.xoroshiro128plus(seed);
   const draw = (count: number) => (rng.next() >>> 0) % count;
   const site = new coreSites.CoreSite(seed, 1);
@@ -75,7 +77,7 @@
       }
     }
     const zones = await site.readEvacuatedZones();
-    const wrong = zones === undefined ? 'unreadable' : history.findFault(zones);
+    const wrong = zones === undefined ? 'unreadable' : history.findViolation(zones);
     fault = wrong === undefined ? undefined : `step ${step}: zone ${wrong}, read ${String(zones)}`;
     for (const [coreId, revision] of site.listRevisions()) {
       if (revision < (revisions.get(coreId) ?? 0)) {
@@ -88,18 +90,19 @@
   return fault;
 }
 
-// Guards against an acknowledged order that is lost, undone or seen to go back while hosts, disks and leaders are lost.
-void tap.default.test('orders on zones hold through losses, among documents', async (t) => {
+// Guards against an acknowledged order that is lost, undone or read in an older state while hosts, disks and leaders
+// fail.
+void tap.default.test('orders on zones survive failures, interleaved with documents', async (t) => {
   for (let seed = SEED; seed < SEED + RUNS; seed += 1) {
-    t.equal(await playSchedule(seed), undefined, `seed ${seed}`);
+    t.equal(await runSchedule(seed), undefined, `seed ${seed}`);
   }
 });
 
-/** More entries than the log keeps before a snapshot takes their place. */
+/** More entries than the log keeps before a snapshot replaces them. */
 const MANY_DOCUMENTS = 300;
 
-// Guards against orders that are gone when a snapshot takes the place of the log.
-void tap.default.test('an evacuation outlives the log that it stood in', async (t) => {
+// Guards against orders that are lost when a snapshot replaces the log.
+void tap.default.test('an evacuation survives the compaction of the log', async (t) => {
   const site = new coreSites.CoreSite(SEED, 1);
   const hosts = ['a', 'b', 'c'];
   await site.start(hosts);
@@ -111,10 +114,10 @@
   site.kill('c');
   site.restart('c', true);
   await site.clock.advance(CATCH_UP_MS);
-  t.equal(site.listRevisions().get('c'), 1, 'a host with an empty disk has it from the leader');
+  t.equal(site.listRevisions().get('c'), 1, 'a host with an empty disk gets it from the leader');
   hosts.forEach((coreId) => site.kill(coreId));
   hosts.forEach((coreId) => site.restart(coreId));
   await site.clock.advance(CATCH_UP_MS);
-  t.same(await site.readEvacuatedZones(), ['a'], 'and each from its own disk');
+  t.same(await site.readEvacuatedZones(), ['a'], 'and each host reads it from its own disk');
   site.stop();
 });
--- a/packages/gateway/tests/evacuations.test.ts
+++ b/packages/gateway/tests/evacuations.test.ts
@@ -3,7 +3,7 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as tap from 'tap';
 
-import * as evacuationOrders from '../src/evacuation-service.js';
+import * as evacuationServices from '../src/evacuation-service.js';
 import * as leaderClients from '../src/leader-client.js';
 import * as sites from './support/small-site.js';
 
@@ -19,7 +19,7 @@
       this.reached.push(name);
       res.writeHead(200, { 'call-id': req.headers['call-id'] });
       if (req.url!.startsWith('/drafts')) {
-        // The draft goes on until its engine ends.
+        // The generation runs until its engine exits.
         res.write('id: 1\ndata: x\n\n');
         return;
       }
@@ -66,7 +66,7 @@
 }
 
 // Guards against calls of any kind that reach a zone after its evacuation is in force.
-void tap.default.test('an evacuated zone gets no calls until it is taken back', async (t) => {
+void tap.default.test('an evacuated zone gets no calls until its evacuation ends', async (t) => {
   const { site, upstreams } = await createSite(t);
   await site.evacuate('a', true);
   await waitLive(site, 2);
@@ -83,11 +83,11 @@
   await waitLive(site, 4);
   upstreams.clear();
   t.same(await callAll(site), [200]);
-  t.ok(upstreams.reached.includes('app-a'), 'it takes calls again');
+  t.ok(upstreams.reached.includes('app-a'), 'it gets calls again');
 });
 
-// Guards against an evacuation that is forgotten with the memory of all hosts.
-void tap.default.test('an evacuation outlives a loss of power of all hosts', async (t) => {
+// Guards against an evacuation that is lost with the memory of all hosts.
+void tap.default.test('an evacuation survives a power failure of all hosts', async (t) => {
   const { site, upstreams } = await createSite(t);
   await site.evacuate('b', true);
   await site.powerCycle();
@@ -99,30 +99,34 @@
   t.match(line, { zones: ['b'] });
 });
 
-// Guards against a draft that goes on at a copy in an evacuated zone.
-void tap.default.test('a draft does not go on at a copy in an evacuated zone', async (t) => {
-  const { site, upstreams } = await createSite(t);
-  const ended = site.call('/drafts/x', { tokens: '400' }, 'write').then(
-    () => 'complete',
-    () => 'broken',
-  );
-  await site.until('begun', () => upstreams.reached.length === 1);
-  const [runner] = upstreams.reached;
-  const copyZone = runner === 'engine-a' ? 'b' : 'a';
-  t.match(
-    site.lines.find(({ decision }) => decision === 'route'),
-    { copyAt: `engine-${copyZone}` },
-    'its copy is in the other zone',
-  );
-  await site.evacuate(copyZone, true);
-  await waitLive(site, 2);
-  site.closeUpstream(upstreams.addresses.get(runner!)!);
-  t.equal(await ended, 'broken');
-  t.same(upstreams.reached, [runner]);
-});
+// Guards against a generation that continues from a backup in an evacuated zone.
+void tap.default.test(
+  'a generation does not continue from a backup in an evacuated zone',
+  async (t) => {
+    const { site, upstreams } = await createSite(t);
+    const ended = site.call('/drafts/x', { tokens: '400' }, 'write').then(
+      () => 'complete',
+      () => 'broken',
+    );
+    await site.until('started', () => upstreams.reached.length === 1);
+    const [engine] = upstreams.reached;
+    const backupZone = engine === 'engine-a' ? 'b' : 'a';
+    t.match(
+      site.lines.find(({ decision }) => decision === 'route'),
+      { copyAt: `engine-${backupZone}` },
+      'its backup is in the other zone',
+    );
+    await site.evacuate(backupZone, true);
+    await waitLive(site, 2);
+    site.closeUpstream(upstreams.addresses.get(engine!)!);
+    t.equal(await ended, 'broken');
+    t.same(upstreams.reached, [engine]);
+  },
+);
 
-// Guards against a way to an upstream that does not choose by what takes work: the last step before a send asks again.
-void tap.default.test('nothing is sent to an evacuated zone, whoever chose it', async (t) => {
+// Guards against paths to an upstream that skip the selection of those that accept work: the last step before a send
+// checks again.
+void tap.default.test('nothing is sent to an evacuated zone, whatever selected it', async (t) => {
   const { site, upstreams } = await createSite(t);
   await site.evacuate('a', true);
   await site.evacuate('b', true);
@@ -138,7 +142,7 @@
   t.same(upstreams.reached, []);
 });
 
-// Guards against calls that run in a region to which their route or team does not allow them.
+// Guards against calls that run in a region that their route or team does not allow.
 void tap.default.test('calls stay in the regions of their route and team', async (t) => {
   const { site, upstreams } = await createSite(t);
   const config = sites.createConfig(1);
@@ -156,7 +160,7 @@
   t.same(await bind(['south'], undefined), { statuses: [200], reached: southern });
   t.same(await bind(undefined, ['south']), { statuses: [200], reached: southern });
   t.same(await bind(['north', 'south'], ['south']), { statuses: [200], reached: southern });
-  t.same(await bind(['north'], ['south']), { statuses: [503], reached: [] }, 'both bind');
+  t.same(await bind(['north'], ['south']), { statuses: [503], reached: [] }, 'both apply');
   t.same(await bind(['east'], undefined), { statuses: [503], reached: [] });
 });
 
@@ -178,8 +182,8 @@
   );
 });
 
-void tap.default.test('an order on a zone that is not there is refused', async (t) => {
-  const orders = new evacuationOrders.EvacuationService({
+void tap.default.test('an order on an unknown zone is refused', async (t) => {
+  const orders = new evacuationServices.EvacuationService({
     group: {} as never,
     leader: {} as never,
     listZones: () => ['a', 'b'],
@@ -190,7 +194,7 @@
   await t.rejects(orders.setEvacuated('c', true, signal), { options: { status: 404 } } as never);
 });
 
-function createRacingOrders(results: ('changed' | 'stale')[]) {
+function createRacingService(results: ('changed' | 'stale')[]) {
   const clock = new schemas.VirtualClock();
   const state = { zones: [] as string[], revision: 4, proposed: 0 };
   const leader = {
@@ -219,7 +223,7 @@
       );
     },
   };
-  const orders = new evacuationOrders.EvacuationService({
+  const orders = new evacuationServices.EvacuationService({
     group: {} as never,
     leader: leader as never,
     listZones: () => undefined,
@@ -229,26 +233,29 @@
   return { clock, orders, state };
 }
 
-// Guards against an acknowledged order that another operator's order kept out of the log.
-void tap.default.test('an order that lost a race is given anew, or refused in time', async (t) => {
-  const { signal } = new AbortController();
-  const won = createRacingOrders(['stale', 'changed']);
-  const ordered = won.orders.setEvacuated('a', true, signal);
-  await won.clock.advance(1_000);
-  t.match(await ordered, { zones: ['a'] });
-  t.equal(won.state.proposed, 2);
+// Guards against an acknowledged order that a concurrent order of another operator kept out of the log.
+void tap.default.test(
+  'an order that lost a race is proposed again, or refused in time',
+  async (t) => {
+    const { signal } = new AbortController();
+    const won = createRacingService(['stale', 'changed']);
+    const ordered = won.orders.setEvacuated('a', true, signal);
+    await won.clock.advance(1_000);
+    t.match(await ordered, { zones: ['a'] });
+    t.equal(won.state.proposed, 2);
 
-  const lost = createRacingOrders([]);
-  const refused = t.rejects(lost.orders.setEvacuated('a', true, signal), {
-    options: { status: 503 },
-  } as never);
-  await lost.clock.advance(3_000);
-  await refused;
-});
+    const lost = createRacingService([]);
+    const refused = t.rejects(lost.orders.setEvacuated('a', true, signal), {
+      options: { status: 503 },
+    } as never);
+    await lost.clock.advance(3_000);
+    await refused;
+  },
+);
 
-// Guards against an order that is given to one core host after another though its operator has left.
+// Guards against an order that is sent to one core host after another although its operator has disconnected.
 void tap.default.test(
-  'the leader is not asked any more for an operator who has left',
+  'no further request is sent for an operator who has disconnected',
   async (t) => {
     const clock = new schemas.VirtualClock();
     const asked: string[] = [];
@@ -282,9 +289,9 @@
   },
 );
 
-// Guards against an order that a frozen host carries out after its operator withdrew it elsewhere.
-void tap.default.test('an order whose operator has left is not carried out', async (t) => {
-  const { orders, state } = createRacingOrders(['changed']);
+// Guards against an order that a paused host executes after its operator has revoked it through another host.
+void tap.default.test('an order whose operator has disconnected is not executed', async (t) => {
+  const { orders, state } = createRacingService(['changed']);
   const gone = new AbortController();
   gone.abort(new Error('left'));
   await t.rejects(orders.setEvacuated('a', true, gone.signal));
--- a/packages/gateway/tests/leaving-engine-monitor.test.ts
+++ b/packages/gateway/tests/leaving-engine-monitor.test.ts
@@ -1,18 +1,18 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as tap from 'tap';
 
-import * as leavingWatches from '../src/leaving-engine-monitor.js';
+import * as leavingEngineMonitors from '../src/leaving-engine-monitor.js';
 
-/** A watch over one engine, whose word the test sets. */
-function createWatch(clock: schemas.VirtualClock) {
-  const engine = { word: false as boolean | Error, changes: 0 };
-  const watch = new leavingWatches.LeavingEngineMonitor({
+/** Creates a monitor of one engine whose report the test sets. */
+function createMonitor(clock: schemas.VirtualClock) {
+  const engine = { report: false as boolean | Error, changes: 0 };
+  const monitor = new leavingEngineMonitors.LeavingEngineMonitor({
     probe: {
       isLeaving: async () => {
-        if (engine.word instanceof Error) {
-          throw engine.word;
+        if (engine.report instanceof Error) {
+          throw engine.report;
         }
-        return Promise.resolve(engine.word);
+        return Promise.resolve(engine.report);
       },
     },
     clock,
@@ -26,61 +26,72 @@
       engine.changes += 1;
     },
   });
-  void watch.run();
-  return { engine, watch };
+  void monitor.run();
+  return { engine, monitor };
 }
 
-void tap.default.test('an engine that says so leaves at once, long before the list', async (t) => {
-  // It has two seconds from its notice; the list shows it after one, when half of its runs cannot be copied any more.
-  const clock = new schemas.VirtualClock();
-  const { engine, watch } = createWatch(clock);
-  await clock.advance(1_000);
-  t.notOk(watch.isLeaving('e1'));
-  engine.word = true;
-  await clock.advance(300);
-  t.ok(watch.isLeaving('e1'));
-  t.equal(engine.changes, 1, 'told once');
-  watch.stop();
-});
+void tap.default.test(
+  'a leaving report takes effect at once, before the list shows it',
+  async (t) => {
+    // An engine has two seconds from its notice. The list shows the notice after one, when half of its runs can no
+    // longer be copied.
+    const clock = new schemas.VirtualClock();
+    const { engine, monitor } = createMonitor(clock);
+    await clock.advance(1_000);
+    t.notOk(monitor.isLeaving('e1'));
+    engine.report = true;
+    await clock.advance(300);
+    t.ok(monitor.isLeaving('e1'));
+    t.equal(engine.changes, 1, 'notified once');
+    monitor.stop();
+  },
+);
 
-void tap.default.test('an engine that says so falsely gets work again', async (t) => {
-  // Its health answer is wrong, or it fails for a while; the list never shows it as leaving. Shunned for as long as it
-  // says so, a healthy engine would stand idle all day.
+void tap.default.test('an engine with a false leaving report gets work again', async (t) => {
+  // The health endpoint is wrong or fails for a while, and the list never shows the engine as leaving. If its report
+  // were always trusted, a healthy engine would be idle all day.
   const clock = new schemas.VirtualClock();
-  const { engine, watch } = createWatch(clock);
-  engine.word = true;
+  const { engine, monitor } = createMonitor(clock);
+  engine.report = true;
   await clock.advance(1_000);
-  t.ok(watch.isLeaving('e1'));
+  t.ok(monitor.isLeaving('e1'));
   await clock.advance(2_000);
-  t.notOk(watch.isLeaving('e1'), 'the list did not confirm it');
+  t.notOk(monitor.isLeaving('e1'), 'the list did not confirm it');
   await clock.advance(10_000);
-  t.notOk(watch.isLeaving('e1'), 'and its word is not taken again at once');
-  watch.stop();
+  t.notOk(monitor.isLeaving('e1'), 'and its next report is not trusted at once');
+  monitor.stop();
 });
 
-void tap.default.test('silence is no word, and a word is taken back', async (t) => {
-  const clock = new schemas.VirtualClock();
-  const { engine, watch } = createWatch(clock);
-  engine.word = new Error('no answer');
-  await clock.advance(1_000);
-  t.notOk(watch.isLeaving('e1'));
-  engine.word = true;
-  await clock.advance(500);
-  engine.word = false;
-  await clock.advance(500);
-  t.notOk(watch.isLeaving('e1'));
-  t.equal(engine.changes, 2);
-  watch.stop();
-});
+void tap.default.test(
+  'a missing answer is not a report, and a report can be withdrawn',
+  async (t) => {
+    const clock = new schemas.VirtualClock();
+    const { engine, monitor } = createMonitor(clock);
+    engine.report = new Error('no answer');
+    await clock.advance(1_000);
+    t.notOk(monitor.isLeaving('e1'));
+    engine.report = true;
+    await clock.advance(500);
+    engine.report = false;
+    await clock.advance(500);
+    t.notOk(monitor.isLeaving('e1'));
+    t.equal(engine.changes, 2);
+    monitor.stop();
+  },
+);
 
-/** A watch over many engines, and how often each was asked. */
-function createWideWatch(clock: schemas.VirtualClock, engineCount: number, runningCount: number) {
-  const asked = new Map<string, number>();
+/** Creates a monitor of many engines and counts the probes of each. */
+function createLargeMonitor(
+  clock: schemas.VirtualClock,
+  engineCount: number,
+  runningCount: number,
+) {
+  const probes = new Map<string, number>();
   const state = { leaving: '', runningCount };
-  const watch = new leavingWatches.LeavingEngineMonitor({
+  const monitor = new leavingEngineMonitors.LeavingEngineMonitor({
     probe: {
       isLeaving: async (address) => {
-        asked.set(address, (asked.get(address) ?? 0) + 1);
+        probes.set(address, (probes.get(address) ?? 0) + 1);
         return Promise.resolve(address === state.leaving);
       },
     },
@@ -97,45 +108,39 @@
       })),
     onChange: () => {},
   });
-  void watch.run();
-  return { asked, state, watch };
+  void monitor.run();
+  return { probes, state, monitor };
 }
 
-// Guards against a leader that spends its processor on questions to thousands of engines, of which few run anything.
-void tap.default.test(
-  '3,000 engines: few questions, to those on which something runs',
-  async (t) => {
-    const clock = new schemas.VirtualClock();
-    const { asked, watch } = createWideWatch(clock, 3_000, 40);
-    await clock.advance(990);
-    t.equal(asked.size, 40);
-    t.same([...new Set(asked.values())], [5], 'each in every round');
-    watch.stop();
+// Guards against a leader that spends its CPU time on probes of thousands of engines, of which few have runs.
+void tap.default.test('3,000 engines: few probes, of engines with runs', async (t) => {
+  const clock = new schemas.VirtualClock();
+  const { probes, monitor } = createLargeMonitor(clock, 3_000, 40);
+  await clock.advance(990);
+  t.equal(probes.size, 40);
+  t.same([...new Set(probes.values())], [5], 'each in every round');
+  monitor.stop();
 
-    const all = createWideWatch(clock, 3_000, 3_000);
-    await clock.advance(9_990);
-    const total = [...all.asked.values()].reduce((sum, count) => sum + count, 0);
-    t.ok(total <= 4_000, `${total} questions in ten seconds`);
-    t.equal(all.asked.size, 3_000, 'and every engine has its turn');
-    all.watch.stop();
-  },
-);
+  const all = createLargeMonitor(clock, 3_000, 3_000);
+  await clock.advance(9_990);
+  const total = [...all.probes.values()].reduce((sum, count) => sum + count, 0);
+  t.ok(total <= 4_000, `${total} probes in ten seconds`);
+  t.equal(all.probes.size, 3_000, 'and every engine is probed');
+  all.monitor.stop();
+});
 
-// Guards against new work for an engine that leaves, as soon as nothing runs there any more.
-void tap.default.test(
-  'an engine that said that it leaves is asked on when it is empty',
-  async (t) => {
-    const clock = new schemas.VirtualClock();
-    const { state, watch } = createWideWatch(clock, 100, 1);
-    state.leaving = 'e-0';
-    await clock.advance(300);
-    t.ok(watch.isLeaving('e-0'));
-    state.runningCount = 0;
-    await clock.advance(900);
-    t.ok(watch.isLeaving('e-0'));
-    state.leaving = '';
-    await clock.advance(300);
-    t.notOk(watch.isLeaving('e-0'), 'and is heard when it takes that back');
-    watch.stop();
-  },
-);
+// Guards against new work for an engine that leaves, as soon as it has no runs any more.
+void tap.default.test('an engine that reported leaving is still probed without runs', async (t) => {
+  const clock = new schemas.VirtualClock();
+  const { state, monitor } = createLargeMonitor(clock, 100, 1);
+  state.leaving = 'e-0';
+  await clock.advance(300);
+  t.ok(monitor.isLeaving('e-0'));
+  state.runningCount = 0;
+  await clock.advance(900);
+  t.ok(monitor.isLeaving('e-0'));
+  state.leaving = '';
+  await clock.advance(300);
+  t.notOk(monitor.isLeaving('e-0'), 'and can withdraw its report');
+  monitor.stop();
+});
--- a/packages/gateway/tests/list-rate-limit.test.ts
+++ b/packages/gateway/tests/list-rate-limit.test.ts
@@ -3,22 +3,24 @@
 import * as tap from 'tap';
 
 import * as entryListReaders from '../src/entry-list-reader.js';
-import * as listReaders from '../src/upstream-list-reader.js';
+import * as upstreamListReaders from '../src/upstream-list-reader.js';
 import type * as ports from '../src/ports.js';
 import * as upstreamDirectories from '../src/upstream-directory.js';
 import * as listedUpstreams from './support/create-listed-upstream.js';
 
-/** The platform: how many calls it answers in a second, how many pages the list has, and how long a page takes. */
+/**
+ * The platform: the calls per second that it answers, the pages of its list, and the milliseconds that a page takes.
+ */
 const CALLS_PER_S = 50;
 const PAGES = 61;
 const PAGE_MS = 4;
 
-/** When the core hosts have a leader after all hosts have started, in milliseconds. */
+/** Time from the start of all hosts until the core hosts have a leader, in milliseconds. */
 const ELECTED_MS = 1_500;
 
 const LOG = new schemas.SilentLog();
 
-/** A platform that refuses calls beyond its rate, whoever asks. */
+/** A platform that refuses calls beyond its rate limit, which applies to all callers together. */
 class PagedList implements ports.UpstreamSource {
   public refused = 0;
   private calls: number[] = [];
@@ -61,15 +63,18 @@
   }
 }
 
-/** All hosts start at once; gives when the leader has read the list, and what the platform refused until then. */
-async function playStart(entryHosts: number) {
+/**
+ * Starts all hosts at once; returns when the leader has read the list, and the number of calls that the platform
+ * refused.
+ */
+async function startAll(entryHosts: number) {
   const clock = new schemas.VirtualClock();
   const rng = xoroshiro.xoroshiro128plus(entryHosts);
   const random = () => (rng.next() >>> 0) / 2 ** 32;
   const source = new PagedList(clock);
   const settings = { listAddress: '127.0.0.1:1', listCallsPerS: CALLS_PER_S };
   let readAt: number | undefined;
-  const leader = new listReaders.UpstreamListReader({
+  const leader = new upstreamListReaders.UpstreamListReader({
     source,
     clock,
     log: LOG,
@@ -108,20 +113,20 @@
   return { readAt, refused: source.refused };
 }
 
-// Guards against hundreds of hosts that read the list when all start, so that the leader never gets to its last page.
-void tap.default.test('300 hosts that start at once leave the list to the leader', async (t) => {
-  const { readAt = Infinity } = await playStart(300);
+// Guards against hundreds of hosts that read the list when they start, so that the leader never gets to its last page.
+void tap.default.test('300 hosts that start at once leave reading to the leader', async (t) => {
+  const { readAt = Infinity } = await startAll(300);
   t.ok(readAt < ELECTED_MS + 3_000, `read after ${readAt - ELECTED_MS} ms`);
 });
 
-// Guards against a leader that begins a long list anew at each page that is refused.
-void tap.default.test('a list of more pages than calls in a second is read', async (t) => {
-  const { readAt = Infinity, refused } = await playStart(0);
+// Guards against a leader that starts a long list again at each refused page.
+void tap.default.test('a list with more pages than calls per second is read', async (t) => {
+  const { readAt = Infinity, refused } = await startAll(0);
   t.ok(readAt < ELECTED_MS + 3_000, `read after ${readAt - ELECTED_MS} ms`);
   t.ok(refused < PAGES, `${refused} calls refused`);
 });
 
-// Guards against a host without a leader that never learns of upstreams.
+// Guards against a host without a leader that never gets a list of upstreams.
 void tap.default.test('a host that reaches no leader reads the list itself', async (t) => {
   const clock = new schemas.VirtualClock();
   const directory = new upstreamDirectories.UpstreamDirectory(clock, LOG);
--- a/packages/gateway/tests/placement-service.test.ts
+++ b/packages/gateway/tests/placement-service.test.ts
@@ -1,7 +1,7 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as tap from 'tap';
 
-import * as poolDesks from '../src/placement-service.js';
+import * as placementServices from '../src/placement-service.js';
 import * as listedUpstreams from './support/create-listed-upstream.js';
 import * as sites from './support/small-site.js';
 
@@ -27,114 +27,125 @@
   };
 }
 
-function createDesk(clock: schemas.Clock) {
+function createService(clock: schemas.Clock) {
   const state = {
     list: undefined as readonly schemas.ListedUpstream[] | undefined,
     services: sites.createConfig(1).services,
     evacuated: [] as string[],
     revision: 0,
   };
-  const desk = new poolDesks.PlacementService({
+  const service = new placementServices.PlacementService({
     clock,
-    findService: (name) => state.services.find((service) => service.name === name),
+    findService: (name) => state.services.find((item) => item.name === name),
     findUpstreams: () => state.list,
     isEvacuated: (zone) => state.evacuated.includes(zone),
     getEvacuationRevision: () => state.revision,
     coldBounds: { coldOverage: 1.5, coldSlack: 5 },
     retryLimiter: { maxGrants: 1, maxGrantsForNewLeader: 1, windowMs: 1_000 },
   });
-  return { desk, state };
+  return { service, state };
 }
 
-// Guards against "no room" from a leader that has not read the list of upstreams yet.
-void tap.default.test('a leader without a list does not say that a pool is full', async (t) => {
-  const { desk, state } = createDesk(new schemas.VirtualClock());
-  t.match(await desk.place(createReq()), { placed: undefined, isUnknown: true });
+// Guards against refusals for lack of capacity by a leader that has not read the list of upstreams yet.
+void tap.default.test('a leader without a list does not report a full pool', async (t) => {
+  const { service, state } = createService(new schemas.VirtualClock());
+  t.match(await service.place(createReq()), { placed: undefined, isUnknown: true });
   t.match(
-    await desk.place(createReq('e-1')),
+    await service.place(createReq('e-1')),
     { placed: { engineId: 'e-1' } },
-    'but it keeps account',
+    'but it registers runs',
   );
   state.list = [ENGINE];
-  t.match(await desk.place({ ...createReq() }), { placed: { engineId: 'e-1' } });
+  t.match(await service.place({ ...createReq() }), { placed: { engineId: 'e-1' } });
   state.list = [];
-  const full = await desk.place(createReq());
+  const full = await service.place(createReq());
   t.equal(full.placed, undefined);
-  t.not(full.isUnknown, true, 'a list without engines is a certain answer');
+  t.not(full.isUnknown, true, 'a list without engines is a definite answer');
 });
 
-// Guards against a burst onto engines that their list calls cold.
+// Guards against a burst of work on engines that are listed as cold.
 void tap.default.test('cold engines get new work at the rate of their service', async (t) => {
   const clock = new schemas.VirtualClock();
-  const { desk, state } = createDesk(clock);
-  state.services = state.services.map((service) => ({ ...service, coldCallsPerS: 5 }));
+  const { service, state } = createService(clock);
+  state.services = state.services.map((item) => ({ ...item, coldCallsPerS: 5 }));
   state.list = [{ ...ENGINE, coldMs: 2_000 }];
   const place = async (callId: string) => {
     const req = createReq();
-    return desk.place({ ...req, need: { ...req.need, callId, promptTokens: 1, answerTokens: 10 } });
+    return service.place({
+      ...req,
+      need: { ...req.need, callId, promptTokens: 1, answerTokens: 10 },
+    });
   };
   const placed = async (count: number) => {
     const all = await Promise.all(
       Array.from({ length: count }, (_, i) => place(`c${clock.now()}-${i}`)),
     );
     all.forEach((_, i) =>
-      desk.release({ service: 'engines', callId: `c${clock.now()}-${i}`, hasFailed: false }),
+      service.release({ service: 'engines', callId: `c${clock.now()}-${i}`, hasFailed: false }),
     );
     return all.filter((res) => res.placed !== undefined).length;
   };
-  t.equal(await placed(4), 3, '0.6 of 5 in a second, while it is cold');
+  t.equal(await placed(4), 3, '0.6 of 5 per second while it is cold');
   await clock.advance(2_100);
   t.equal(await placed(4), 4, 'more when it is warm');
 });
 
-// Guards against "no room" for a service that the leader's document lacks and the host's document has.
-void tap.default.test('a leader that lacks a service does not say that it is full', async (t) => {
-  const { desk, state } = createDesk(new schemas.VirtualClock());
+// Guards against refusals for lack of capacity if the leader's document lacks a service that the host's document has.
+void tap.default.test('a leader that lacks a service does not report a full pool', async (t) => {
+  const { service, state } = createService(new schemas.VirtualClock());
   state.list = [ENGINE];
   state.services = [];
-  t.match(await desk.place(createReq()), { placed: undefined, isUnknown: true });
+  t.match(await service.place(createReq()), { placed: undefined, isUnknown: true });
 });
 
-// Guards against new work on engines of an evacuated zone, and against runs there being moved away.
+// Guards against new work on engines of an evacuated zone, and against migration of the runs there.
 void tap.default.test(
   'engines of an evacuated zone get no new work and keep their runs',
   async (t) => {
     const clock = new schemas.VirtualClock();
-    const { desk, state } = createDesk(clock);
+    const { service, state } = createService(clock);
     state.list = [ENGINE, { ...ENGINE, upstreamId: 'e-2', availabilityZone: 'b' }];
-    t.match(await desk.place(createReq()), { placed: { engineId: 'e-1' } }, 'the near one');
+    t.match(
+      await service.place(createReq()),
+      { placed: { engineId: 'e-1' } },
+      'the one in the same zone',
+    );
     state.evacuated = ['a'];
     state.revision = 1;
-    t.match(await desk.place(createReq()), { placed: { engineId: 'e-2' } });
+    t.match(await service.place(createReq()), { placed: { engineId: 'e-2' } });
     const run = { callId: 'c1', engineId: 'e-1', excluded: [], service: 'engines' };
-    const offered = desk.awaitMigration({ ...run, patienceMs: 500 });
+    const offered = service.awaitMigration({ ...run, patienceMs: 500 });
     await clock.advance(600);
-    t.same(await offered, { takerId: undefined }, 'a run there is not handed over');
+    t.same(await offered, { takerId: undefined }, 'a run there is not migrated');
     state.evacuated = [];
     state.revision = 2;
-    t.match(await desk.place(createReq()), { placed: { engineId: 'e-1' } }, 'until it ends');
+    t.match(
+      await service.place(createReq()),
+      { placed: { engineId: 'e-1' } },
+      'until the evacuation ends',
+    );
   },
 );
 
-// Guards against calls that wait for room which cannot come.
-void tap.default.test('a pool in evacuated zones only refuses at once', async (t) => {
-  const { desk, state } = createDesk(new schemas.VirtualClock());
+// Guards against calls that wait for capacity that cannot become available.
+void tap.default.test('a pool with engines only in evacuated zones refuses at once', async (t) => {
+  const { service, state } = createService(new schemas.VirtualClock());
   state.list = [ENGINE];
   state.evacuated = ['a'];
   state.revision = 1;
-  const res = await desk.place({ ...createReq(), patienceMs: 700 });
+  const res = await service.place({ ...createReq(), patienceMs: 700 });
   t.match(res, { placed: undefined, waitedMs: 0 });
   t.not(res.isUnknown, true);
 });
 
-// Guards against "no room" because of runs that ended while another host led.
-void tap.default.test('a host that leads again forgets what ran when it led before', async (t) => {
-  const { desk, state } = createDesk(new schemas.VirtualClock());
+// Guards against refusals for lack of capacity because of runs that ended while another host led.
+void tap.default.test('a re-elected leader drops the runs of its former leadership', async (t) => {
+  const { service, state } = createService(new schemas.VirtualClock());
   state.list = [ENGINE];
-  desk.startLeading(1);
-  t.match(await desk.place(createReq('e-1')), { placed: { engineId: 'e-1' } });
-  desk.startLeading(1);
-  t.ok(desk.hasRuns('engines', 'e-1'), 'not within one leadership');
-  desk.startLeading(3);
-  t.notOk(desk.hasRuns('engines', 'e-1'));
+  service.startLeading(1);
+  t.match(await service.place(createReq('e-1')), { placed: { engineId: 'e-1' } });
+  service.startLeading(1);
+  t.ok(service.hasRuns('engines', 'e-1'), 'not within one term');
+  service.startLeading(3);
+  t.notOk(service.hasRuns('engines', 'e-1'));
 });
--- a/packages/gateway/tests/retry-shares.test.ts
+++ b/packages/gateway/tests/retry-shares.test.ts
@@ -4,39 +4,43 @@
 
 import * as retryShares from '../src/retry-shares.js';
 
-void tap.default.test('a host borrows when its own share is used up, and only then', async (t) => {
-  // An engine is lost with nine streams of this host, whose share of the deployment's retries is two. The leader lends
-  // the others; a host that hears no leader has only its own.
-  const bounds = { retryRatio: 0.2, retrySlack: 56, retryWindowMs: 10_000, entryHosts: 8 };
-  const metrics = new telemetry.TextMetrics();
-  let asked = 0;
-  let isLent = true;
-  const shares = new retryShares.RetryShares(
-    new schemas.VirtualClock(),
-    () => bounds,
-    async () => {
-      asked += 1;
-      return Promise.resolve(isLent);
-    },
-    metrics,
-  );
-  const take = async () => shares.find('engines').take();
-  t.ok(await take());
-  t.equal(asked, 0, 'its own first');
-  const rest = [];
-  for (let i = 0; i < 8; i += 1) {
-    rest.push(await take());
-  }
-  t.notOk(rest.includes(false), 'all nine go on');
-  t.ok(asked >= 7, `${asked} of them lent`);
-  isLent = false;
-  t.notOk(await take(), 'none without a lender');
-  t.match(await metrics.render(), /retries_total\{service="engines",source="denied"\} 1/);
-});
+void tap.default.test(
+  'a host requests a grant when its own share is used up, and only then',
+  async (t) => {
+    // An engine fails with nine streams of this host, whose share of the deployment's retries is two. The leader grants
+    // the others; a host without a leader has only its own share.
+    const bounds = { retryRatio: 0.2, retrySlack: 56, retryWindowMs: 10_000, entryHosts: 8 };
+    const metrics = new telemetry.TextMetrics();
+    let requestCount = 0;
+    let isGranted = true;
+    const shares = new retryShares.RetryShares(
+      new schemas.VirtualClock(),
+      () => bounds,
+      async () => {
+        requestCount += 1;
+        return Promise.resolve(isGranted);
+      },
+      metrics,
+    );
+    const take = async () => shares.find('engines').take();
+    t.ok(await take());
+    t.equal(requestCount, 0, 'its own share first');
+    const rest = [];
+    for (let i = 0; i < 8; i += 1) {
+      rest.push(await take());
+    }
+    t.notOk(rest.includes(false), 'all nine continue');
+    t.ok(requestCount >= 7, `${requestCount} of them granted`);
+    isGranted = false;
+    t.notOk(await take(), 'none without a grant');
+    t.match(await metrics.render(), /retries_total\{service="engines",source="denied"\} 1/);
+  },
+);
 
-void tap.default.test('what can be planned is paid from what is lent', async (t) => {
-  // An engine leaves and eight of this host's runs are handed over. Paid from the host's own share, nothing is left of
-  // that when its zone is cut off a moment later: streams that have a copy in the zone then ended for want of a retry.
+void tap.default.test('planned retries are taken from grants', async (t) => {
+  // An engine leaves and eight runs of this host are migrated. If the host's own share were used for that, nothing
+  // would be left when its zone is partitioned a moment later: streams with a backup in the zone would end for lack of
+  // a retry.
   const bounds = { retryRatio: 0.2, retrySlack: 56, retryWindowMs: 10_000, entryHosts: 8 };
   let isReached = true;
   const shares = new retryShares.RetryShares(
@@ -50,13 +54,13 @@
     t.ok(await source.takeGranted());
   }
   isReached = false;
-  t.ok(await source.takeGranted(), 'its own share is still there, where nobody lends');
+  t.ok(await source.takeGranted(), 'its own share is left when nothing is granted');
   t.notOk(await source.takeGranted(), 'as long as it lasts');
   t.notOk(await source.take());
 });
 
 // Guards against hundreds of hosts that all start with the share of a small fleet.
-void tap.default.test('a host that was not told how many share has one retry', async (t) => {
+void tap.default.test('a host without the number of hosts has one retry', async (t) => {
   const bounds = { retryRatio: 0.2, retrySlack: 428, retryWindowMs: 10_000, entryHosts: undefined };
   const shares = new retryShares.RetryShares(
     new schemas.VirtualClock(),
--- a/packages/gateway/tests/support/create-listed-upstream.ts
+++ b/packages/gateway/tests/support/create-listed-upstream.ts
@@ -1,9 +1,9 @@
 import type * as schemas from '@bramleyridge/schemas';
 
-/** An engine as a list gives it, with some fields changed. */
+/** Creates an engine as a list contains it, with some fields replaced. */
 export function createListedUpstream(
   upstreamId: string,
-  change: Partial<schemas.ListedUpstream> = {},
+  overrides: Partial<schemas.ListedUpstream> = {},
 ): schemas.ListedUpstream {
   return {
     upstreamId,
@@ -13,6 +13,6 @@
     isLeaving: false,
     slots: 4,
     coldMs: 0,
-    ...change,
+    ...overrides,
   };
 }
--- a/packages/gateway/tests/upstream-picker.test.ts
+++ b/packages/gateway/tests/upstream-picker.test.ts
@@ -9,19 +9,19 @@
 import * as listedUpstreams from './support/create-listed-upstream.js';
 import * as sites from './support/small-site.js';
 
-/** A leader that places every generation on one engine, or does not answer, and what it is told. */
+/** A leader that places every generation on one engine, or does not answer; records what is reported to it. */
 class FixedPlacer implements upstreamPickers.GenerationPlacer {
-  public readonly entered: string[] = [];
-  public readonly fixed: (string | undefined)[] = [];
-  public readonly noted: string[] = [];
+  public readonly registered: string[] = [];
+  public readonly fixedEngineIds: (string | undefined)[] = [];
+  public readonly events: string[] = [];
 
   public constructor(private readonly engineId: string | undefined) {}
 
   public async place(
     _service: string,
-    need: routing.PlacementSpec,
+    spec: routing.PlacementSpec,
   ): Promise<procedures.PlaceRes | undefined> {
-    this.fixed.push(need.fixedEngineId);
+    this.fixedEngineIds.push(spec.fixedEngineId);
     if (this.engineId === undefined) {
       return Promise.resolve(undefined);
     }
@@ -33,14 +33,14 @@
     return Promise.resolve({ takerId: this.engineId });
   }
 
-  public registerRun(_service: string, need: routing.PlacementSpec): void {
-    this.entered.push(need.callId);
+  public registerRun(_service: string, spec: routing.PlacementSpec): void {
+    this.registered.push(spec.callId);
   }
 
   public unregisterRun(): void {}
 
   public noteRun(callId: string, event: string): void {
-    this.noted.push(`${callId} ${event}`);
+    this.events.push(`${callId} ${event}`);
   }
 }
 
@@ -53,15 +53,15 @@
   return directory;
 }
 
-/** A host whose list has one engine. */
+/** Creates the picker of a host whose list has one engine. */
 function createPicker(
   clock: schemas.Clock,
-  pools: upstreamPickers.GenerationPlacer,
+  placer: upstreamPickers.GenerationPlacer,
   directory = createDirectory(clock, ['e-1']),
 ) {
   return new upstreamPickers.UpstreamPicker({
     directory,
-    placer: pools,
+    placer,
     availabilityZone: 'a',
     coldShare: new routing.ColdSendQuota('host', () => 16),
     clock,
@@ -104,42 +104,42 @@
 }
 
 void tap.default.test(
-  'a generation placed on an engine not listed here goes elsewhere',
+  'a generation placed on an engine that is not listed here runs elsewhere',
   async (t) => {
-    // An engine has just started. The leader has read it in the list and places a generation there; this host's copy
-    // of the list is older and has no address for it. The caller must not be refused while other engines are
-    // known, and the leader must not count for 39 s what never ran.
+    // An engine has just started. The leader has it in its list and places a generation there; this host's list is
+    // older and has no address for it. The caller must not be refused while other engines are listed, and the leader
+    // must not count for 39 s a run that never took place.
     const clock = new schemas.VirtualClock();
     const placer = new FixedPlacer('e-new');
     const picker = createPicker(clock, placer);
     const picked = await picker.pick(createCall(), new Set());
-    t.equal(picked.upstreamId, 'e-1', 'it runs on one that is known');
-    t.same(placer.fixed, [undefined, 'e-1'], 'and the account is told which');
+    t.equal(picked.upstreamId, 'e-1', 'it runs on one that is listed');
+    t.same(placer.fixedEngineIds, [undefined, 'e-1'], 'and the ledger gets its id');
   },
 );
 
-// Guards against a refusal for want of room by a leader that has just risen and has no list.
-void tap.default.test('a host chooses itself while the leader cannot tell', async (t) => {
-  const fixed: (string | undefined)[] = [];
+// Guards against a refusal for lack of capacity by a new leader that has no list.
+void tap.default.test('a host uses fallback placement while the leader has no list', async (t) => {
+  const fixedEngineIds: (string | undefined)[] = [];
   const placer = new FixedPlacer(undefined);
-  placer.place = async (_service, need) => {
-    fixed.push(need.fixedEngineId);
+  placer.place = async (_service, spec) => {
+    fixedEngineIds.push(spec.fixedEngineId);
     return Promise.resolve({ placed: undefined, waitedMs: 0, isUnknown: true });
   };
   const picker = createPicker(new schemas.VirtualClock(), placer);
   t.equal((await picker.pick(createCall(), new Set())).upstreamId, 'e-1');
-  t.same(fixed, [undefined, 'e-1'], 'and the account is told which');
+  t.same(fixedEngineIds, [undefined, 'e-1'], 'and the ledger gets its id');
 });
 
-void tap.default.test('a generation that this host places alone stays known to it', async (t) => {
-  // A new leader is told what runs; what this host placed while it had none must be among it, or the new
-  // leader fills the same engine a second time.
+void tap.default.test('a generation placed by fallback is registered', async (t) => {
+  // Hosts report their runs to a new leader. The runs that this host placed without a leader must be included, or the
+  // new leader fills the same engine a second time.
   const clock = new schemas.VirtualClock();
   const placer = new FixedPlacer(undefined);
   const picker = createPicker(clock, placer);
   const picked = await picker.pick(createCall(), new Set());
   t.equal(picked.upstreamId, 'e-1');
-  t.same(placer.entered, ['c1']);
+  t.same(placer.registered, ['c1']);
 });
 
 // Guards against a cold upstream that crashes under the calls of all hosts, and against calls held until it is warm.
@@ -156,11 +156,11 @@
     { stamp: 's2', upstreams: [cold, { ...cold, upstreamId: 'app-2', coldMs: 0 }] },
     0,
   );
-  t.equal((await picker.pick(call, new Set())).upstreamId, 'app-2', 'a warm one takes the rest');
+  t.equal((await picker.pick(call, new Set())).upstreamId, 'app-2', 'a warm one gets the rest');
   directory.applyList({ stamp: 's3', upstreams: [cold] }, 0);
   await clock.advance(2_100);
   for (let i = 0; i < 5; i += 1) {
-    t.equal((await picker.pick(call, new Set())).upstreamId, 'app-1', 'as many as come when warm');
+    t.equal((await picker.pick(call, new Set())).upstreamId, 'app-1', 'all calls when it is warm');
   }
   directory.noteUnreachable('app-1');
   await clock.advance(1_100);
@@ -168,16 +168,16 @@
   await t.rejects(picker.pick(call, new Set()), { id: 'noUpstream' } as never);
 });
 
-void tap.default.test('a taker that is not listed here yet is given back', async (t) => {
-  // The leader has the run handed over to an engine that it has just read of. This host does not know it and cannot have
-  // the memory copied there. Unless it says so, the run counts as copied and is lost with its engine.
+void tap.default.test('a target engine that is not listed here yet is rejected', async (t) => {
+  // The leader requests the migration of a run to an engine that this host's list does not have yet, so the KV cache
+  // cannot be copied there. Unless the host reports that, the run counts as backed up and is lost with its engine.
   const clock = new schemas.VirtualClock();
   const unknown = new FixedPlacer('e-9');
   const res = await createPicker(clock, unknown).awaitMigrationTarget(createCall(), 'e-0', []);
   t.same(res, { isAnswered: false, target: undefined });
-  t.same(unknown.noted, ['c1 turn-over']);
+  t.same(unknown.events, ['c1 turn-over']);
   const known = new FixedPlacer('e-1');
   const other = await createPicker(clock, known).awaitMigrationTarget(createCall(), 'e-0', []);
   t.equal(other.target?.upstreamId, 'e-1');
-  t.same(known.noted, []);
+  t.same(known.events, []);
 });
