--- a/packages/gateway/src/core-host.ts
+++ b/packages/gateway/src/core-host.ts
@@ -93,7 +93,7 @@
     const leader = new leaderClients.LeaderClient({
       coreId,
       group,
-      table: coreRegistry,
+      registry: coreRegistry,
       mesh,
       clock,
       log,
@@ -236,7 +236,7 @@
         return this.placement.awaitMigration(req);
       },
       release: async (req) => this.placement.release(req),
-      noteRun: async (event) => this.placement.noteRun(event),
+      noteRun: async (event) => this.placement.recordEvent(event),
       borrowRetry: async ({ service }) => {
         this.ensureLeading('borrow-retry');
         const { startedAt, term } = group.getLeadership();
@@ -283,7 +283,7 @@
       },
       permitSuspect: async (req) => {
         this.ensureLeadingSuspects('permit-suspect');
-        return this.suspects.permitWithFacts(req);
+        return this.suspects.permitWithIsolation(req);
       },
     };
   }
--- a/packages/gateway/src/crash-guard.ts
+++ b/packages/gateway/src/crash-guard.ts
@@ -51,7 +51,7 @@
 export interface CrashGuardOptions {
   readonly suspects: suspectClients.SuspectClient;
   readonly directory: upstreamDirectories.UpstreamDirectory;
-  readonly endCheck: requests.ProcessExitDetector;
+  readonly exitDetector: requests.ProcessExitDetector;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly metrics: telemetry.MetricSink;
@@ -172,7 +172,7 @@
     run: GuardedRun,
     wasAlone: boolean,
   ): Promise<void> {
-    const { clock, directory, endCheck, suspects, log } = this.options;
+    const { clock, directory, exitDetector, suspects, log } = this.options;
     const { answerStartedAt, known } = run;
     const { upstreamId } = known;
     const isEarly = answerStartedAt === undefined || clock.now() - answerStartedAt < EARLY_CRASH_MS;
@@ -181,7 +181,7 @@
     const digest = job.getDigest();
     const request = job.call.facts.requestId;
     log.info({ decision: 'run-lost', request, digest, upstream: upstreamId, isAnnounced, isEarly });
-    if (isAnnounced || !(await endCheck.hasExited(known))) {
+    if (isAnnounced || !(await exitDetector.hasExited(known))) {
       this.recordOutcome(job, run, 'over');
       return;
     }
--- a/packages/gateway/src/leader-client.ts
+++ b/packages/gateway/src/leader-client.ts
@@ -22,7 +22,7 @@
 export interface LeaderClientOptions {
   readonly coreId: string;
   readonly group: coreGroups.CoreGroup;
-  readonly table: coreHostRegistries.CoreHostRegistry;
+  readonly registry: coreHostRegistries.CoreHostRegistry;
   readonly mesh: coreMeshes.CorePeers;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
@@ -71,12 +71,12 @@
    * voter slot gets no heartbeats, so it may have no leader on record.
    */
   private listLeaders(): string[] {
-    const { coreId, group, table } = this.options;
+    const { coreId, group, registry } = this.options;
     if (group.voter?.leadership !== undefined) {
       return [coreId];
     }
-    const leader = group.voter?.leader ?? table.leaderHint;
-    const others = table.listOthers();
+    const leader = group.voter?.leader ?? registry.leaderHint;
+    const others = registry.listOthers();
     return leader === undefined ? others : [leader, ...others.filter((id) => id !== leader)];
   }
 }
--- a/packages/gateway/src/migration-manager.ts
+++ b/packages/gateway/src/migration-manager.ts
@@ -105,7 +105,7 @@
       const request = job.call.facts.requestId;
       log.warn({ decision: 'hand-over-refused', request, reason: 'retry-budget' });
     }
-    picker.noteRun(job.call, 'turn-over');
+    picker.reportEvent(job.call, 'turn-over');
     await clock.sleep(RETRY_PAUSE_MS);
   }
 
@@ -181,7 +181,7 @@
       }
       log.info({ decision: 'hand-over', ...details, result: result.kind });
     } catch (err) {
-      picker.noteRun(job.call, 'turn-over');
+      picker.reportEvent(job.call, 'turn-over');
       log.info({ decision: 'hand-over-failed', ...details, err: schemas.toError(err).message });
     }
   }
--- a/packages/gateway/src/placement-client.ts
+++ b/packages/gateway/src/placement-client.ts
@@ -69,7 +69,7 @@
   }
 
   /** Reports an event of a generation that runs here. */
-  public noteRun(callId: string, event: procedures.GenerationEvent['event']): void {
+  public reportEvent(callId: string, event: procedures.GenerationEvent['event']): void {
     const { findLeader, mesh } = this.options;
     const known = this.running.get(callId);
     const leader = findLeader();
--- a/packages/gateway/src/placement-service.ts
+++ b/packages/gateway/src/placement-service.ts
@@ -105,7 +105,7 @@
   }
 
   /** Records an event of a generation. */
-  public noteRun({ callId, event, service }: procedures.GenerationEvent): void {
+  public recordEvent({ callId, event, service }: procedures.GenerationEvent): void {
     const pool = this.pools.get(service);
     if (pool === undefined) {
       return;
--- a/packages/gateway/src/routed-flow.ts
+++ b/packages/gateway/src/routed-flow.ts
@@ -128,7 +128,7 @@
 
   private noteEvents({ call, times }: routedJobs.RoutedJob): void {
     if (times.recordEvents()) {
-      this.options.picker.noteRun(call, 'begun');
+      this.options.picker.reportEvent(call, 'begun');
     }
   }
 
--- a/packages/gateway/src/suspect-client.ts
+++ b/packages/gateway/src/suspect-client.ts
@@ -75,7 +75,7 @@
   }
 
   /** Returns the term and revision of the last updates applied. */
-  public getReceivedRevision(): procedures.SuspectCursor {
+  public getCursor(): procedures.SuspectCursor {
     return this.cursor;
   }
 
--- a/packages/gateway/src/suspect-registry.ts
+++ b/packages/gateway/src/suspect-registry.ts
@@ -108,7 +108,7 @@
    * Like `permit`, and states whether another suspect runs on the process. The host reports that with the end of the
    * run, in case another host leads by then.
    */
-  public async permitWithFacts(req: procedures.SuspectPermitReq): Promise<routing.Permit> {
+  public async permitWithIsolation(req: procedures.SuspectPermitReq): Promise<routing.Permit> {
     return this.ledger.addIsolation(await this.permit(req), req.digest);
   }
 
--- a/packages/gateway/src/upstream-picker.ts
+++ b/packages/gateway/src/upstream-picker.ts
@@ -66,7 +66,7 @@
     run: procedures.MigrationOffer,
   ): Promise<procedures.MigrationRes | undefined>;
   /** Reports an event of a generation that runs here. */
-  noteRun(callId: string, event: procedures.GenerationEvent['event']): void;
+  reportEvent(callId: string, event: procedures.GenerationEvent['event']): void;
   /** Registers a generation that runs here, whether the leader or this host placed it. */
   registerRun(service: string, spec: routing.PlacementSpec, engineId: string): void;
   /** Unregisters a generation that has ended. */
@@ -78,7 +78,7 @@
   readonly directory: upstreamDirectories.UpstreamDirectory;
   readonly placer: GenerationPlacer;
   readonly availabilityZone: string;
-  readonly coldShare: routing.ColdSendQuota;
+  readonly coldSendQuota: routing.ColdSendQuota;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly random: () => number;
@@ -139,19 +139,19 @@
     if (res?.takerId !== undefined && target === undefined) {
       // This host's list lacks the target engine. Without a notification the leader would count the run as backed up.
       log.info({ decision: 'taker-unknown', request: run.callId, upstream: res.takerId });
-      placer.noteRun(run.callId, 'turn-over');
+      placer.reportEvent(run.callId, 'turn-over');
       return { isAnswered: false, target };
     }
     return { isAnswered: res !== undefined, target };
   }
 
   /** Reports an event of a generation. */
-  public noteRun(
+  public reportEvent(
     call: callAdmissions.AdmittedCall,
     event: procedures.GenerationEvent['event'],
   ): void {
     if (generationCalls.isGeneration(call)) {
-      this.options.placer.noteRun(call.facts.requestId, event);
+      this.options.placer.reportEvent(call.facts.requestId, event);
     }
   }
 
@@ -261,7 +261,7 @@
     }
     const { known, upstreamId } = chosen;
     if (call.service.coldCallsPerS !== undefined && isMaybeCold(known, now)) {
-      this.options.coldShare.recordSend(upstreamId, now);
+      this.options.coldSendQuota.recordSend(upstreamId, now);
     }
     const share = isEngine
       ? routing.getMemoryShare(chosen, now)
@@ -283,12 +283,12 @@
     known: upstreamDirectories.KnownUpstream,
     now: number,
   ): boolean {
-    const { coldShare } = this.options;
+    const { coldSendQuota } = this.options;
     const { upstreamId } = known;
     return (
       coldCallsPerS === undefined ||
       !isMaybeCold(known, now) ||
-      coldShare.canSend({ upstreamId, callsPerS: coldCallsPerS }, now)
+      coldSendQuota.canSend({ upstreamId, callsPerS: coldCallsPerS }, now)
     );
   }
 
@@ -317,7 +317,7 @@
     return {
       upstreamId: known.upstreamId,
       known,
-      isNear: known.listed.availabilityZone === this.options.availabilityZone,
+      isSameZone: known.listed.availabilityZone === this.options.availabilityZone,
       isCold: known.coldUntil > now,
       slots: known.listed.slots,
       load: known.load,
--- a/packages/gateway/tests/crash-guard.test.ts
+++ b/packages/gateway/tests/crash-guard.test.ts
@@ -421,7 +421,7 @@
   t.equal(getStanding('good'), 'suspect', 'another one did');
   const request = { hostId: 'host', digest: 'good', processId: 'p8', mayShare: true };
   t.same(
-    await registry.permitWithFacts(request),
+    await registry.permitWithIsolation(request),
     { kind: 'go', isAlone: true },
     'and the permit states that no other suspect runs there',
   );
--- a/packages/gateway/tests/evacuations.test.ts
+++ b/packages/gateway/tests/evacuations.test.ts
@@ -270,7 +270,7 @@
     const client = new leaderClients.LeaderClient({
       coreId: 'c1',
       group: { voter: undefined } as never,
-      table: { leaderHint: undefined, listOthers: () => ['c2', 'c3'] } as never,
+      registry: { leaderHint: undefined, listOthers: () => ['c2', 'c3'] } as never,
       mesh: { get: api } as never,
       clock,
       log: new schemas.SilentLog(),
--- a/packages/gateway/tests/run-permits.test.ts
+++ b/packages/gateway/tests/run-permits.test.ts
@@ -42,7 +42,7 @@
   const guard = new crashGuards.CrashGuard({
     suspects: client,
     directory: { isLeaving: () => false, noteUnreachable: () => {} } as never,
-    endCheck: { hasExited: async () => clock.sleep(CHECK_MS).then(() => true) } as never,
+    exitDetector: { hasExited: async () => clock.sleep(CHECK_MS).then(() => true) } as never,
     clock,
     log,
     metrics: new telemetry.TextMetrics(),
--- a/packages/gateway/tests/support/fleet-simulation.ts
+++ b/packages/gateway/tests/support/fleet-simulation.ts
@@ -371,7 +371,7 @@
         return;
       }
       host.leaderTerm = leader.term;
-      const updates = leader.registry.findUpdates(host.client.getReceivedRevision(), leader.term);
+      const updates = leader.registry.findUpdates(host.client.getCursor(), leader.term);
       if (updates !== undefined) {
         host.client.applyUpdates(structuredClone(updates));
       }
@@ -430,7 +430,7 @@
         noteUnreachable: () => {},
         listLive: () => this.listRunning(),
       } as never,
-      endCheck: { hasExited: async () => Promise.resolve(true) } as never,
+      exitDetector: { hasExited: async () => Promise.resolve(true) } as never,
       clock,
       log,
       metrics: new telemetry.TextMetrics(),
--- a/packages/gateway/tests/upstream-picker.test.ts
+++ b/packages/gateway/tests/upstream-picker.test.ts
@@ -39,7 +39,7 @@
 
   public unregisterRun(): void {}
 
-  public noteRun(callId: string, event: string): void {
+  public reportEvent(callId: string, event: string): void {
     this.events.push(`${callId} ${event}`);
   }
 }
@@ -63,7 +63,7 @@
     directory,
     placer,
     availabilityZone: 'a',
-    coldShare: new routing.ColdSendQuota('host', () => 16),
+    coldSendQuota: new routing.ColdSendQuota('host', () => 16),
     clock,
     log: new schemas.SilentLog(),
     random: () => 0,
--- a/packages/routing/src/load-choice.ts
+++ b/packages/routing/src/load-choice.ts
@@ -25,7 +25,7 @@
 /** An upstream that could take a call. */
 export interface LoadCandidate {
   readonly upstreamId: string;
-  readonly isNear: boolean;
+  readonly isSameZone: boolean;
   readonly isCold: boolean;
   /** Number of calls that it processes concurrently. */
   readonly slots: number;
@@ -51,7 +51,7 @@
 ): C | undefined {
   const getShare = (item: C) => getCallShare(item, now);
   const sameZone = candidates.filter(
-    (item) => item.isNear && getShare(item) < SAME_ZONE_CALL_LIMIT,
+    (item) => item.isSameZone && getShare(item) < SAME_ZONE_CALL_LIMIT,
   );
   return chooseOfTwo(sameZone.length > 0 ? sameZone : candidates, getShare, random);
 }
@@ -67,7 +67,7 @@
 ): C | undefined {
   const getShare = (item: C) => getMemoryShare(item, now);
   const sameZone = candidates.filter(
-    (item) => item.isNear && getShare(item) < SAME_ZONE_MEMORY_LIMIT,
+    (item) => item.isSameZone && getShare(item) < SAME_ZONE_MEMORY_LIMIT,
   );
   return chooseOfTwo(sameZone.length > 0 ? sameZone : candidates, getShare, random);
 }
--- a/packages/routing/tests/load-choice.test.ts
+++ b/packages/routing/tests/load-choice.test.ts
@@ -18,7 +18,7 @@
 function createEngines(count: number, sameZoneCount: number): routing.EngineCandidate[] {
   return Array.from({ length: count }, (_, i) => ({
     upstreamId: `e${i}`,
-    isNear: i < sameZoneCount,
+    isSameZone: i < sameZoneCount,
     isCold: false,
     slots: 24,
     load: new routing.UpstreamLoad(),
@@ -40,7 +40,7 @@
     chosen.push(engine);
   }
   t.ok(
-    chosen.every(({ isNear }) => isNear),
+    chosen.every(({ isSameZone }) => isSameZone),
     'none leaves the zone',
   );
   const most = Math.max(...engines.map(({ load }) => load.calls));
@@ -52,7 +52,7 @@
   // is the better choice.
   const engines = createEngines(6, 2);
   engines.slice(0, 2).forEach(({ load }) => load.trackCall(MEMORY));
-  t.notOk(routing.chooseByMemory(engines, 0, createRandom(5))?.isNear);
+  t.notOk(routing.chooseByMemory(engines, 0, createRandom(5))?.isSameZone);
   t.ok(
     routing.chooseByMemory(createEngines(6, 0), 0, createRandom(5)),
     'also without engines in its zone',
