--- a/packages/daemon/src/caller-api.ts
+++ b/packages/daemon/src/caller-api.ts
@@ -5,25 +5,25 @@
 import * as schemas from '@bramleyridge/schemas';
 import type * as polka from 'polka';
 
-import * as completionFlows from './completion-flow.js';
-import type * as parts from './parts.js';
-import * as relayFlows from './relay-flow.js';
-import * as resumeFlows from './resume-flow.js';
-import * as serviceFlows from './service-flow.js';
+import * as completionHandlers from './completion-handler.js';
+import * as generationRelays from './generation-relay.js';
+import type * as handlerContexts from './handler-context.js';
+import * as resumeHandlers from './resume-handler.js';
+import * as serviceCallHandlers from './service-call-handler.js';
 
 type Handler = (req: requests.ApiRequest, res: http.ServerResponse) => Promise<void>;
 
 /** What callers and the balancer reach over HTTP. */
 export class CallerApi {
-  private readonly completions: completionFlows.CompletionFlow;
-  private readonly resumes: resumeFlows.ResumeFlow;
-  private readonly services: serviceFlows.ServiceFlow;
+  private readonly completions: completionHandlers.CompletionHandler;
+  private readonly resumes: resumeHandlers.ResumeHandler;
+  private readonly services: serviceCallHandlers.ServiceCallHandler;
 
-  public constructor(private readonly parts: parts.Parts) {
-    const relays = new relayFlows.RelayFlow(parts);
-    this.completions = new completionFlows.CompletionFlow(parts, relays);
-    this.resumes = new resumeFlows.ResumeFlow(parts, relays);
-    this.services = new serviceFlows.ServiceFlow(parts);
+  public constructor(private readonly context: handlerContexts.HandlerContext) {
+    const relays = new generationRelays.GenerationRelay(context);
+    this.completions = new completionHandlers.CompletionHandler(context, relays);
+    this.resumes = new resumeHandlers.ResumeHandler(context, relays);
+    this.services = new serviceCallHandlers.ServiceCallHandler(context);
   }
 
   /** Adds the routes. */
@@ -55,10 +55,10 @@
   private serve(handle: Handler): polka.Middleware {
     return (request, res) => {
       const req = request as unknown as requests.ApiRequest;
-      const leave = this.parts.drain.enter();
+      const leave = this.context.drain.enter();
       // Without this a client that vanishes in the wrong moment would end the process.
       res.on('error', () => {});
-      if (this.parts.drain.isDraining()) {
+      if (this.context.drain.isDraining()) {
         res.setHeader('connection', 'close');
       }
       void handle(req, res)
@@ -71,8 +71,8 @@
 
   private refuse(req: http.IncomingMessage, res: http.ServerResponse, err: unknown): void {
     const refusal = requests.toRefusal(err);
-    this.parts.metrics.count('refusals', { reason: refusal.id });
-    this.parts.log.info({
+    this.context.metrics.count('refusals', { reason: refusal.id });
+    this.context.log.info({
       decision: 'refuse',
       reason: refusal.id,
       outcome: refusal.options.outcome,
@@ -88,8 +88,8 @@
   }
 
   private listModels(req: http.IncomingMessage, res: http.ServerResponse): void {
-    const team = this.parts.access.authenticate(req);
-    const { intents } = this.parts.store.get().declaration;
+    const team = this.context.access.authenticate(req);
+    const { intents } = this.context.store.get().declaration;
     const models = new Set(
       intents.filter((intent) => intent.teams.includes(team.name)).map((intent) => intent.model),
     );
@@ -109,7 +109,7 @@
   }
 
   private showReady(res: http.ServerResponse): void {
-    const { drain, store, view } = this.parts;
+    const { drain, store, view } = this.context;
     const isReady = store.isReady() && view.hasUpstreamList() && !drain.isDraining();
     requests.sendJson(res, isReady ? 200 : 503, {
       isReady,
--- a/packages/daemon/src/caller-stream.ts
+++ b/packages/daemon/src/caller-stream.ts
@@ -4,7 +4,7 @@
 import * as schemas from '@bramleyridge/schemas';
 
 /** How often a caller that waits is sent a comment, in milliseconds. */
-const COMMENT_MS = 5_000;
+const KEEP_ALIVE_INTERVAL_MS = 5_000;
 
 /** What a stream to a caller needs. */
 export interface CallerStreamOptions {
@@ -16,7 +16,7 @@
 /** Writes a generation to a caller as server-sent events. */
 export class CallerStream {
   private isOpen = true;
-  private readonly comments: NodeJS.Timeout;
+  private readonly keepAliveTimer: NodeJS.Timeout;
 
   public constructor(
     private readonly res: http.ServerResponse,
@@ -30,10 +30,10 @@
     res.flushHeaders();
     res.on('close', () => {
       this.isOpen = false;
-      clearInterval(this.comments);
+      clearInterval(this.keepAliveTimer);
     });
     // A caller behind a middlebox that forgot the connection is found by what it does not take any more.
-    this.comments = setInterval(() => res.write(': alive\n\n'), COMMENT_MS);
+    this.keepAliveTimer = setInterval(() => res.write(': alive\n\n'), KEEP_ALIVE_INTERVAL_MS);
   }
 
   /** Whether the caller is still there. */
@@ -54,11 +54,13 @@
 
   /** Writes the last event and ends. */
   public end(end: requests.RelayEnd): void {
-    clearInterval(this.comments);
+    clearInterval(this.keepAliveTimer);
     if (!this.isOpen) {
       return;
     }
-    this.res.end(end.outcome === 'complete' ? this.createLast(end) : this.createBroken(end));
+    this.res.end(
+      end.outcome === 'complete' ? this.createFinalEvent(end) : this.createInterruptedEvent(end),
+    );
   }
 
   private waitForDrain(): Promise<void> {
@@ -78,7 +80,7 @@
     });
   }
 
-  private createLast(end: requests.RelayEnd): string {
+  private createFinalEvent(end: requests.RelayEnd): string {
     const data = {
       id: this.options.generation,
       object: 'chat.completion.chunk',
@@ -90,7 +92,7 @@
     return `data: ${JSON.stringify(data)}\n\ndata: [DONE]\n\n`;
   }
 
-  private createBroken(end: requests.RelayEnd): string {
+  private createInterruptedEvent(end: requests.RelayEnd): string {
     const refusal = new schemas.Refusal({
       id: 'generationGone',
       step: 'relay',
--- a/packages/daemon/src/claim-desk.ts
+++ b/packages/daemon/src/claim-service.ts
@@ -5,22 +5,22 @@
 import type * as peerMeshes from './peer-mesh.js';
 
 /** How long the owner of a claimed call is asked to wait for its end in one go, in milliseconds. */
-const OUTCOME_SLICE_MS = 2_000;
+const OUTCOME_WAIT_MS = 2_000;
 
 /** How often a claimed call's owner is asked before it counts as lost. */
-const MAX_ASKS = 3;
+const MAX_OUTCOME_FAILURES = 3;
 
 /** How often expired claims are dropped, in milliseconds. */
-const EXPIRE_MS = 30_000;
+const EXPIRY_INTERVAL_MS = 30_000;
 
 /** Who claimed a key, and how the call stands as far as can be known. */
-export interface Claimed {
+export interface ClaimedCall {
   readonly value: requests.ClaimValue;
   readonly state: requests.CallState;
 }
 
 /** What the desk needs. */
-export interface ClaimDeskOptions {
+export interface ClaimServiceOptions {
   readonly cfg: schemas.DaemonConfig;
   readonly incarnation: number;
   readonly clock: schemas.Clock;
@@ -32,23 +32,23 @@
 }
 
 /** Where a daemon claims calls, and asks who holds a claim. */
-export class ClaimDesk {
-  public readonly seat: requests.ClaimAcceptor;
+export class ClaimService {
+  public readonly acceptor: requests.ClaimAcceptor;
   private readonly proposer: requests.ClaimProposer;
   private isStopped = false;
 
-  public constructor(private readonly options: ClaimDeskOptions) {
+  public constructor(private readonly options: ClaimServiceOptions) {
     const { cfg, clock, incarnation, log, mesh, random, store } = options;
     const context = { deadlineMs: cfg.timings.claimDeadlineMs };
     const transport: requests.ClaimTransport = {
       claim: async (daemonId, req) =>
         daemonId === cfg.daemonId
-          ? this.seat.handleClaim(req)
+          ? this.acceptor.handleClaim(req)
           : mesh.get(daemonId).claim.mutate(req, { context }),
       recover: (daemonId, req) => mesh.get(daemonId).recover.mutate(req, { context }),
     };
     const { daemonId } = cfg;
-    this.seat = new requests.ClaimAcceptor({ daemonId, incarnation, clock, log, transport });
+    this.acceptor = new requests.ClaimAcceptor({ daemonId, incarnation, clock, log, transport });
     this.proposer = new requests.ClaimProposer({
       daemonId: `${daemonId}@${incarnation}`,
       transport,
@@ -63,9 +63,9 @@
     const { clock, store } = this.options;
     while (!this.isStopped) {
       const { claimSeats, claimFounders } = store.get();
-      this.seat.configure(claimSeats, claimFounders);
-      this.seat.expire();
-      await store.changed.wait(clock, EXPIRE_MS);
+      this.acceptor.configure(claimSeats, claimFounders);
+      this.acceptor.expire();
+      await store.changed.wait(clock, EXPIRY_INTERVAL_MS);
     }
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** Who holds a key and how the call stands; nothing when nobody holds it. */
-  public async find(key: string, requestHash: string): Promise<Claimed | undefined> {
+  public async find(key: string, requestHash: string): Promise<ClaimedCall | undefined> {
     const value = await this.proposer.find(key);
     if (value === undefined) {
       return undefined;
@@ -115,31 +115,31 @@
         param: 'idempotency-key',
       });
     }
-    return { value, state: await this.askOwner(value) };
+    return { value, state: await this.fetchCallState(value) };
   }
 
   /** Asks the daemon that claimed a call how it stands, until it has begun. */
-  private async askOwner(value: requests.ClaimValue): Promise<requests.CallState> {
+  private async fetchCallState(value: requests.ClaimValue): Promise<requests.CallState> {
     const { cfg, calls, clock, incarnation, mesh } = this.options;
-    const ask = { call: value.call, waitMs: OUTCOME_SLICE_MS };
-    const context = { deadlineMs: OUTCOME_SLICE_MS + cfg.timings.peerDeadlineMs };
+    const outcomeReq = { call: value.call, waitMs: OUTCOME_WAIT_MS };
+    const context = { deadlineMs: OUTCOME_WAIT_MS + cfg.timings.peerDeadlineMs };
     if (value.daemonId === cfg.daemonId) {
-      const isOurs = value.incarnation === incarnation;
-      return isOurs ? calls.await(value.call, cfg.limits.queueMs) : { state: 'lost' };
+      const isSameProcess = value.incarnation === incarnation;
+      return isSameProcess ? calls.await(value.call, cfg.limits.queueMs) : { state: 'lost' };
     }
     let failures = 0;
-    while (failures < MAX_ASKS) {
+    while (failures < MAX_OUTCOME_FAILURES) {
       try {
         const answer: unknown = await mesh
           .getAt(value.daemonId, value)
-          .outcome.mutate(ask, { context });
+          .outcome.mutate(outcomeReq, { context });
         const state = requests.callState.parse(answer);
         if (state.state !== 'running') {
           return state;
         }
       } catch {
         failures += 1;
-        await clock.sleep(OUTCOME_SLICE_MS / 20);
+        await clock.sleep(OUTCOME_WAIT_MS / 20);
       }
     }
     return { state: 'lost' };
--- a/packages/daemon/src/completion-body.ts
+++ b/packages/daemon/src/completion-body.ts
@@ -8,7 +8,7 @@
 const DEFAULT_MAX_TOKENS = 32_768;
 
 /** Requests that ask for at most so many tokens count as interactive unless they say otherwise. */
-const INTERACTIVE_TOKENS = 256;
+const MAX_INTERACTIVE_TOKENS = 256;
 
 /** How much of a prompt is taken for its prefix, in characters. */
 const PREFIX_CHARS = 512;
@@ -34,7 +34,7 @@
 export type CompletionBody = z.infer<typeof completionBody>;
 
 /** What routing needs to know of a body. */
-export interface Measured {
+export interface RequestEstimate {
   readonly promptTokens: number;
   readonly maxTokens: number;
   readonly prefix: string;
@@ -42,12 +42,15 @@
 }
 
 /** Measures a body; the prompt itself goes no further than this. */
-export function measureBody(body: CompletionBody, wantedClass: string | undefined): Measured {
+export function estimateRequest(
+  body: CompletionBody,
+  wantedClass: string | undefined,
+): RequestEstimate {
   const prompt = body.prompt ?? JSON.stringify(body.messages);
   const limit = body.max_completion_tokens ?? body.max_tokens;
   const isInteractive =
     wantedClass === undefined
-      ? (limit ?? Infinity) <= INTERACTIVE_TOKENS
+      ? (limit ?? Infinity) <= MAX_INTERACTIVE_TOKENS
       : wantedClass === 'interactive';
   const prefix = prompt.length < PREFIX_CHARS ? '' : prompt.slice(0, PREFIX_CHARS);
   return {
@@ -62,7 +65,7 @@
 export function createEngineBody(
   body: CompletionBody,
   version: string,
-  { prefix, workClass }: Measured,
+  { prefix, workClass }: RequestEstimate,
 ): string {
   return JSON.stringify({
     ...body,
--- a/packages/daemon/src/whole-answer.ts
+++ b/packages/daemon/src/completion-collector.ts
@@ -13,8 +13,8 @@
 }
 
 /** Collects a generation's events into the answer of a caller that wants it whole. */
-export class WholeAnswer {
-  private readonly parts: Buffer[] = [];
+export class CompletionCollector {
+  private readonly received: Buffer[] = [];
 
   public constructor(
     private readonly generation: string,
@@ -24,11 +24,11 @@
 
   /** Adds events. */
   public add(bytes: Buffer): void {
-    this.parts.push(bytes);
+    this.received.push(bytes);
   }
 
   /** The answer as OpenAI clients expect it. */
-  public create(end: requests.RelayEnd): object {
+  public createResponse(end: requests.RelayEnd): object {
     const chunks = this.listChunks();
     const content = chunks.map((chunk) => getContent(chunk.choices[0])).join('');
     const finish = chunks.at(-1)?.choices[0]?.finish_reason ?? 'stop';
@@ -51,7 +51,7 @@
   }
 
   private listChunks(): Chunk[] {
-    return Buffer.concat(this.parts)
+    return Buffer.concat(this.received)
       .toString('utf8')
       .split('\n\n')
       .map((event) => event.slice(event.indexOf('data: ') + 'data: '.length))
--- a/packages/daemon/src/completion-dispatch.ts
+++ b/packages/daemon/src/completion-dispatcher.ts
@@ -6,9 +6,9 @@
 
 import * as completionBodies from './completion-body.js';
 import type * as completionJobs from './completion-job.js';
-import type * as grantClients from './grant-client.js';
-import type * as parts from './parts.js';
-import type * as relayFlows from './relay-flow.js';
+import type * as generationRelays from './generation-relay.js';
+import type * as handlerContexts from './handler-context.js';
+import type * as poolClients from './pool-client.js';
 
 /** What a refused caller is told to wait when upstreams failed, in seconds. */
 const RETRY_AFTER_S = 2;
@@ -17,17 +17,17 @@
 
 /** One try of a completion at one engine. */
 interface Attempt {
-  readonly life: ReturnType<typeof requests.createRequestLifecycle>;
+  readonly lifecycle: ReturnType<typeof requests.createRequestLifecycle>;
   readonly call: string;
-  readonly grant: grantClients.Grant;
+  readonly grant: poolClients.CapacityGrant;
   readonly generation: string;
 }
 
 /** Finds room for a completion and hands it to an engine, truthfully. */
-export class CompletionDispatch {
+export class CompletionDispatcher {
   private counter = 0;
 
-  public constructor(private readonly parts: parts.Parts) {}
+  public constructor(private readonly context: handlerContexts.HandlerContext) {}
 
   /**
    * Finds room, claims the call where it has a key, and hands it to the engine; tries on while it did not
@@ -36,29 +36,29 @@
   public async dispatch(
     job: Job,
     res: http.ServerResponse,
-  ): Promise<relayFlows.RelayTask | undefined> {
-    const { grants } = this.parts;
+  ): Promise<generationRelays.RelayTask | undefined> {
+    const { poolClient } = this.context;
     for (;;) {
-      const attempt = await this.begin(job, res);
+      const attempt = await this.prepareAttempt(job, res);
       try {
         if (job.key !== undefined && !(await this.claim(job, attempt))) {
-          grants.finish(attempt.call, false);
+          poolClient.release(attempt.call, false);
           return undefined;
         }
-        return await this.handOver(job, attempt);
+        return await this.startAttempt(job, attempt);
       } catch (err) {
-        grants.finish(attempt.call, false);
+        poolClient.release(attempt.call, false);
         this.settleFailure(job, attempt, err, res);
       }
     }
   }
 
-  private async begin(job: Job, res: http.ServerResponse): Promise<Attempt> {
-    const { cfg, ids, incarnation } = this.parts;
-    const life = requests.createRequestLifecycle();
+  private async prepareAttempt(job: Job, res: http.ServerResponse): Promise<Attempt> {
+    const { cfg, ids, incarnation } = this.context;
+    const lifecycle = requests.createRequestLifecycle();
     const call = this.createCall();
-    const grant = await this.askRoom(job, call, res);
-    life.move('grant');
+    const grant = await this.requestCapacity(job, call, res);
+    lifecycle.move('grant');
     const id: requests.GenerationId = {
       availabilityZone: cfg.availabilityZone,
       daemonId: cfg.daemonId,
@@ -67,15 +67,15 @@
       counter: call.slice(call.lastIndexOf('.') + 1),
       upstreamId: grant.upstream.upstreamId,
     };
-    return { life, call, grant, generation: ids.encode(id, job.team.name) };
+    return { lifecycle, call, grant, generation: ids.encode(id, job.team.name) };
   }
 
-  private async handOver(job: Job, attempt: Attempt): Promise<relayFlows.RelayTask> {
-    const { call, generation, grant, life } = attempt;
-    life.move('dispatch');
+  private async startAttempt(job: Job, attempt: Attempt): Promise<generationRelays.RelayTask> {
+    const { call, generation, grant, lifecycle } = attempt;
+    lifecycle.move('dispatch');
     const body = await this.start(job, grant, generation);
-    this.parts.calls.set(generation, { state: 'dispatched' });
-    life.move('stream');
+    this.context.calls.set(generation, { state: 'dispatched' });
+    lifecycle.move('stream');
     return {
       call,
       generation,
@@ -92,38 +92,41 @@
   /** Ends the request, or returns when it is certain that the engine did not run it and another may. */
   private settleFailure(
     job: Job,
-    { generation, grant, life }: Attempt,
+    { generation, grant, lifecycle }: Attempt,
     err: unknown,
     res: http.ServerResponse,
   ): void {
-    const { budget, calls } = this.parts;
+    const { budget, calls } = this.context;
     if (err instanceof schemas.StepError && !(err instanceof requests.UpstreamError)) {
       calls.set(generation, { state: 'not-run' });
       throw err;
     }
     const failure = requests.createUpstreamError(err, 'start', grant.upstream.upstreamId);
-    this.noteFailure(job, grant, generation, failure);
+    this.recordFailure(job, grant, generation, failure);
     if (failure.kind === 'lost') {
       calls.set(generation, { state: 'lost' });
-      life.move('doubt');
+      lifecycle.move('doubt');
       throw createRefusal('ranUnknown', 'unknown', failure);
     }
     calls.set(generation, { state: 'not-run' });
     job.attempt += job.key === undefined ? 0 : 1;
     job.excluded.push(grant.upstream.upstreamId);
     if (!budget.take() || res.destroyed) {
-      life.move('refuse');
+      lifecycle.move('refuse');
       throw createRefusal('upstreamRefused', 'not-run', failure);
     }
-    life.move('retry');
+    lifecycle.move('retry');
   }
 
   /**
    * The call was handed over and the answer was lost. The engine is asked on a new connection: if it runs
    * the generation we go on with it; if not, it is made to promise that it never will.
    */
-  public async findOut(upstream: schemas.Upstream, generation: string): Promise<stream.Readable> {
-    const { engines } = this.parts;
+  public async resolveLostStart(
+    upstream: schemas.Upstream,
+    generation: string,
+  ): Promise<stream.Readable> {
+    const { engines } = this.context;
     try {
       return await engines.resume(upstream, generation, 0);
     } catch (err) {
@@ -137,40 +140,40 @@
     }
   }
 
-  private async askRoom(
+  private async requestCapacity(
     job: Job,
     call: string,
     res: http.ServerResponse,
-  ): Promise<grantClients.Grant> {
-    const { cfg, decisions, grants, metrics } = this.parts;
-    const { measured, intent, team } = job;
-    const grant = await grants.ask(
+  ): Promise<poolClients.CapacityGrant> {
+    const { cfg, decisions, poolClient, metrics } = this.context;
+    const { estimate, intent, team } = job;
+    const grant = await poolClient.requestCapacity(
       intent.model,
       {
         generation: call,
         daemonId: cfg.daemonId,
         team: team.name,
         intent: intent.name,
-        workClass: measured.workClass,
-        promptTokens: measured.promptTokens,
-        maxTokens: measured.maxTokens,
-        prefix: measured.prefix,
+        workClass: estimate.workClass,
+        promptTokens: estimate.promptTokens,
+        maxTokens: estimate.maxTokens,
+        prefix: estimate.prefix,
         waitedMs: 0,
         patienceMs: cfg.limits.queueMs,
         excluded: job.excluded,
       },
       () => res.destroyed,
     );
-    metrics.time('queued', grant.queuedMs, { class: measured.workClass });
-    decisions.note({
+    metrics.time('queued', grant.queuedMs, { class: estimate.workClass });
+    decisions.record({
       decision: 'route',
       request: call,
       team: team.name,
       availabilityZone: cfg.availabilityZone,
       upstream: grant.upstream.upstreamId,
       reason: grant.reason,
-      workClass: measured.workClass,
-      promptTokens: measured.promptTokens,
+      workClass: estimate.workClass,
+      promptTokens: estimate.promptTokens,
       queuedMs: Math.round(grant.queuedMs),
       pressure: Number(grant.pressure.toFixed(3)),
       attempt: job.attempt,
@@ -179,7 +182,7 @@
   }
 
   private async claim(job: Job, { generation, grant }: Attempt): Promise<boolean> {
-    const { calls, claims } = this.parts;
+    const { calls, claims } = this.context;
     const key = claims.createKey(job.team.name, job.key ?? '', job.attempt);
     calls.open(generation);
     const { upstreamId } = grant.upstream;
@@ -193,12 +196,12 @@
   /** Starts the generation; when the answer is lost, finds out whether it began. */
   private async start(
     job: Job,
-    grant: grantClients.Grant,
+    grant: poolClients.CapacityGrant,
     generation: string,
   ): Promise<stream.Readable> {
-    const { engines } = this.parts;
+    const { engines } = this.context;
     const { upstream } = grant;
-    const body = completionBodies.createEngineBody(job.body, grant.version, job.measured);
+    const body = completionBodies.createEngineBody(job.body, grant.version, job.estimate);
     try {
       return await engines.start(upstream, job.path, generation, body);
     } catch (err) {
@@ -206,21 +209,21 @@
       if (failure.kind !== 'lost') {
         throw failure;
       }
-      return this.findOut(upstream, generation);
+      return this.resolveLostStart(upstream, generation);
     }
   }
 
-  private noteFailure(
+  private recordFailure(
     job: Job,
-    grant: grantClients.Grant,
+    grant: poolClients.CapacityGrant,
     generation: string,
     failure: requests.UpstreamError,
   ): void {
-    const { cfg, decisions, grants } = this.parts;
+    const { cfg, decisions, poolClient } = this.context;
     if (failure.kind !== 'lost') {
-      grants.noteLeaving(job.intent.model, grant.upstream.upstreamId);
+      poolClient.reportLeaving(job.intent.model, grant.upstream.upstreamId);
     }
-    decisions.note({
+    decisions.record({
       decision: 'upstream-failed',
       request: generation,
       team: job.team.name,
@@ -232,7 +235,7 @@
 
   private createCall(): string {
     this.counter += 1;
-    return `${this.parts.callPrefix}${this.counter.toString(36)}`;
+    return `${this.context.callPrefix}${this.counter.toString(36)}`;
   }
 }
 
--- a/packages/daemon/src/completion-flow.ts
+++ b/packages/daemon/src/completion-handler.ts
@@ -4,11 +4,11 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import * as completionBodies from './completion-body.js';
-import * as dispatches from './completion-dispatch.js';
+import * as completionCollectors from './completion-collector.js';
+import * as completionDispatchers from './completion-dispatcher.js';
 import * as completionJobs from './completion-job.js';
-import type * as parts from './parts.js';
-import type * as relayFlows from './relay-flow.js';
-import * as wholeAnswers from './whole-answer.js';
+import type * as generationRelays from './generation-relay.js';
+import type * as handlerContexts from './handler-context.js';
 
 /** What a caller is told to wait when its generation was lost, in seconds. */
 const RETRY_AFTER_S = 2;
@@ -19,17 +19,17 @@
  * How many engines may end under one generation. Two in a row have most likely ended for what it asks of them, and each
  * takes with it all else that it runs.
  */
-const MOST_ENDED = 2;
+const MAX_ENDED_ENGINES = 2;
 
 /** The flow of a completion: who asks, may it be here, was it asked before, where is room, pass it on. */
-export class CompletionFlow {
-  private readonly dispatch: dispatches.CompletionDispatch;
+export class CompletionHandler {
+  private readonly dispatcher: completionDispatchers.CompletionDispatcher;
 
   public constructor(
-    private readonly parts: parts.Parts,
-    private readonly relays: relayFlows.RelayFlow,
+    private readonly context: handlerContexts.HandlerContext,
+    private readonly relay: generationRelays.GenerationRelay,
   ) {
-    this.dispatch = new dispatches.CompletionDispatch(parts);
+    this.dispatcher = new completionDispatchers.CompletionDispatcher(context);
   }
 
   /** Serves one request. */
@@ -38,14 +38,14 @@
     res: http.ServerResponse,
     path: string,
   ): Promise<void> {
-    const { access, budget, cfg } = this.parts;
+    const { access, budget, cfg } = this.context;
     const team = access.authenticate(req);
-    access.checkPlace(team, path);
+    access.checkZoneAllowed(team, path);
     const raw = await requests.readBody(req, cfg.limits);
     const body = requests.parseJson(completionBodies.completionBody, raw);
-    const job = completionJobs.createJob(this.parts, req, team, body, raw, path);
+    const job = completionJobs.createJob(this.context, req, team, body, raw, path);
     budget.noteRequest();
-    if (job.key !== undefined && (await this.join(job, res))) {
+    if (job.key !== undefined && (await this.joinClaimedCall(job, res))) {
       return;
     }
     await this.run(job, res);
@@ -53,66 +53,71 @@
 
   private async run(job: Job, res: http.ServerResponse): Promise<void> {
     for (;;) {
-      const task = await this.dispatch.dispatch(job, res).catch((err: unknown) => {
+      const task = await this.dispatcher.dispatch(job, res).catch((err: unknown) => {
         // That there is no engine left says of this try that it did not run; the ones before it did.
-        throw job.ended > 0 ? createGone(err) : err;
+        throw job.endedEngines > 0 ? createGenerationGone(err) : err;
       });
       if (task === undefined) {
-        if (await this.join(job, res)) {
+        if (await this.joinClaimedCall(job, res)) {
           return;
         }
         continue;
       }
       if (job.body.stream) {
-        await this.relays.stream(task, res);
+        await this.relay.stream(task, res);
         return;
       }
-      if (await this.answerWhole(job, task, res)) {
+      if (await this.respondWhole(job, task, res)) {
         return;
       }
     }
   }
 
   /** Answers whole; false when the generation is known gone and may be made anew. */
-  private async answerWhole(
+  private async respondWhole(
     job: Job,
-    task: relayFlows.RelayTask,
+    task: generationRelays.RelayTask,
     res: http.ServerResponse,
   ): Promise<boolean> {
-    const { budget } = this.parts;
+    const { budget } = this.context;
     const { generation } = task;
-    const answer = new wholeAnswers.WholeAnswer(generation, job.isChat, job.measured.promptTokens);
-    const end = await this.relays.collect(task, res, (bytes) => answer.add(bytes));
+    const collector = new completionCollectors.CompletionCollector(
+      generation,
+      job.isChat,
+      job.estimate.promptTokens,
+    );
+    const end = await this.relay.collect(task, res, (bytes) => collector.add(bytes));
     if (res.destroyed) {
       return true;
     }
     const headers = { [schemas.GENERATION_HEADER]: generation };
     if (end.outcome === 'complete') {
       const outcome = { [schemas.OUTCOME_HEADER]: 'complete' };
-      requests.sendJson(res, 200, answer.create(end), { ...headers, ...outcome });
+      requests.sendJson(res, 200, collector.createResponse(end), { ...headers, ...outcome });
       return true;
     }
     // Nothing was delivered, so a new generation is no splice; but only when the former can't still run.
-    const isOver = end.err?.kind === 'gone' || end.err?.isConnectionRefused() === true;
-    job.ended += isOver ? 1 : 0;
-    const mayRunAgain = job.isRepeatable && job.key === undefined && job.ended < MOST_ENDED;
-    if (isOver && mayRunAgain && budget.take()) {
+    const isGone = end.err?.kind === 'gone' || end.err?.isConnectionRefused() === true;
+    job.endedEngines += isGone ? 1 : 0;
+    const mayRetry =
+      job.isRepeatable && job.key === undefined && job.endedEngines < MAX_ENDED_ENGINES;
+    if (isGone && mayRetry && budget.take()) {
       job.excluded.push(task.upstream.upstreamId);
       return false;
     }
-    throw createGone(end.err);
+    throw createGenerationGone(end.err);
   }
 
   /** Joins the call that holds this request's key; false when the key is free at `job.attempt`. */
-  private async join(job: Job, res: http.ServerResponse): Promise<boolean> {
-    const { claims } = this.parts;
+  private async joinClaimedCall(job: Job, res: http.ServerResponse): Promise<boolean> {
+    const { claims } = this.context;
     for (;;) {
       const key = claims.createKey(job.team.name, job.key ?? '', job.attempt);
-      const claimed = await claims.find(key, job.requestHash);
-      if (claimed === undefined) {
+      const existing = await claims.find(key, job.requestHash);
+      if (existing === undefined) {
         return false;
       }
-      if (claimed.state.state !== 'not-run' && (await this.joinClaimed(job, claimed.value, res))) {
+      if (existing.state.state !== 'not-run' && (await this.joinCall(job, existing.value, res))) {
         return true;
       }
       // That attempt is proved not to have run, so the next one may be claimed.
@@ -120,15 +125,15 @@
     }
   }
 
-  private async joinClaimed(
+  private async joinCall(
     job: Job,
     value: requests.ClaimValue,
     res: http.ServerResponse,
   ): Promise<boolean> {
-    const { cfg, decisions, grants } = this.parts;
-    const upstream = grants.findUpstream(value.upstreamId);
+    const { cfg, decisions, poolClient } = this.context;
+    const upstream = poolClient.findUpstream(value.upstreamId);
     const { team } = job;
-    decisions.note({
+    decisions.record({
       decision: 'join',
       request: value.call,
       team: team.name,
@@ -137,19 +142,21 @@
       reason: 'same idempotency key',
     });
     if (upstream === undefined) {
-      throw dispatches.createRefusal('claimLost', 'unknown');
+      throw completionDispatchers.createRefusal('claimLost', 'unknown');
     }
-    const isConnected = await this.takeOver(value);
-    const body = await this.dispatch.findOut(upstream, value.call).catch((err: unknown) => {
-      if (err instanceof requests.UpstreamError && err.kind === 'refused') {
-        return undefined;
-      }
-      throw dispatches.createRefusal('claimLost', 'unknown', err);
-    });
+    const isConnected = await this.adopt(value);
+    const body = await this.dispatcher
+      .resolveLostStart(upstream, value.call)
+      .catch((err: unknown) => {
+        if (err instanceof requests.UpstreamError && err.kind === 'refused') {
+          return undefined;
+        }
+        throw completionDispatchers.createRefusal('claimLost', 'unknown', err);
+      });
     if (body === undefined) {
       return false;
     }
-    const task: relayFlows.RelayTask = {
+    const task: generationRelays.RelayTask = {
       call: value.call,
       generation: value.call,
       team: team.name,
@@ -160,15 +167,15 @@
       mayCancel: !isConnected,
     };
     if (job.body.stream) {
-      await this.relays.stream(task, res);
+      await this.relay.stream(task, res);
       return true;
     }
-    return this.answerWhole({ ...job, isRepeatable: false }, task, res);
+    return this.respondWhole({ ...job, isRepeatable: false }, task, res);
   }
 
   /** Tells the daemon that began a call that another caller takes it too. */
-  private async takeOver(value: requests.ClaimValue): Promise<boolean> {
-    const { adoptions, cfg, mesh } = this.parts;
+  private async adopt(value: requests.ClaimValue): Promise<boolean> {
+    const { adoptions, cfg, mesh } = this.context;
     if (value.daemonId === cfg.daemonId) {
       return adoptions.adopt(value.call).isConnected;
     }
@@ -178,7 +185,7 @@
   }
 }
 
-function createGone(cause: unknown): schemas.Refusal {
+function createGenerationGone(cause: unknown): schemas.Refusal {
   return new schemas.Refusal({
     id: 'generationGone',
     step: 'relay',
--- a/packages/daemon/src/completion-job.ts
+++ b/packages/daemon/src/completion-job.ts
@@ -3,7 +3,7 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import * as completionBodies from './completion-body.js';
-import type * as parts from './parts.js';
+import type * as handlerContexts from './handler-context.js';
 
 /** The longest Idempotency-Key that is taken. */
 const MAX_KEY_CHARS = 255;
@@ -13,7 +13,7 @@
   readonly team: schemas.Team;
   readonly intent: schemas.Intent;
   readonly body: completionBodies.CompletionBody;
-  readonly measured: completionBodies.Measured;
+  readonly estimate: completionBodies.RequestEstimate;
   readonly path: string;
   readonly isChat: boolean;
   readonly key: string | undefined;
@@ -21,13 +21,13 @@
   readonly isRepeatable: boolean;
   readonly excluded: string[];
   /** How many engines ended under it. */
-  ended: number;
+  endedEngines: number;
   attempt: number;
 }
 
 /** Makes the job of a request, with the intent that serves it. */
 export function createJob(
-  { cfg, store }: parts.Parts,
+  { cfg, store }: handlerContexts.HandlerContext,
   req: http.IncomingMessage,
   team: schemas.Team,
   body: completionBodies.CompletionBody,
@@ -50,19 +50,19 @@
     });
   }
   const wantedClass = req.headers[schemas.CLASS_HEADER];
-  const measured = completionBodies.measureBody(body, wantedClass?.toString());
+  const estimate = completionBodies.estimateRequest(body, wantedClass?.toString());
   return {
     team,
     intent,
     body,
-    measured,
+    estimate,
     path,
     isChat: path.includes('/chat/'),
     key: req.headers['idempotency-key']?.toString().slice(0, MAX_KEY_CHARS),
     requestHash: schemas.getSha256(raw.toString('utf8')).slice(0, 32),
     isRepeatable: req.headers[schemas.REPEATABLE_HEADER] !== 'no',
     excluded: [],
-    ended: 0,
+    endedEngines: 0,
     attempt: 0,
   };
 }
--- a/packages/daemon/src/control-plane.ts
+++ b/packages/daemon/src/control-plane.ts
@@ -9,10 +9,10 @@
 import type * as peerRouters from './peer-router.js';
 
 /** How long a command is tried before the operator is told that its fate is not known, in milliseconds. */
-const PROPOSE_MS = 8_000;
+const LEADER_CALL_TIMEOUT_MS = 8_000;
 
 /** The pause before a command is tried again, in milliseconds. */
-const PROPOSE_PAUSE_MS = 100;
+const LEADER_RETRY_PAUSE_MS = 100;
 
 /** What the control plane needs. */
 export interface ControlPlaneOptions {
@@ -41,7 +41,7 @@
     if (!cfg.voter) {
       return;
     }
-    const files = this.options.files ?? (await this.openFolder());
+    const files = this.options.files ?? (await this.openStorage());
     this.identity = await consensus.openIdentity(files);
     void this.runVoter(files).catch((err: unknown) => {
       if (!this.stopping.signal.aborted) {
@@ -87,37 +87,37 @@
   }
 
   /** Notes who leads, as a peer told. */
-  public noteLeader(leader: string | undefined): void {
+  public setLeaderHint(leader: string | undefined): void {
     this.leaderHint = leader ?? this.leaderHint;
   }
 
   /** Puts a command into the log, as the leader. */
-  public async proposeHere(command: schemas.Command): Promise<schemas.CommandResult> {
+  public async proposeLocally(command: schemas.Command): Promise<schemas.CommandResult> {
     const { result } = await this.getLeadership().propose(command);
     return result as schemas.CommandResult;
   }
 
   /** Asks the leader for something, wherever it is, until the time is over. */
-  public async atLeader<T>(
-    here: () => Promise<T>,
-    there: (api: peerMeshes.PeerApi) => Promise<T>,
+  public async callLeader<T>(
+    runLocally: () => Promise<T>,
+    callRemote: (api: peerMeshes.PeerApi) => Promise<T>,
   ): Promise<T> {
     const { clock, mesh } = this.options;
-    const end = clock.now() + PROPOSE_MS;
-    let last: unknown;
-    while (clock.now() < end) {
+    const deadline = clock.now() + LEADER_CALL_TIMEOUT_MS;
+    let lastError: unknown;
+    while (clock.now() < deadline) {
       for (const daemonId of this.listLeaders()) {
         try {
           return daemonId === this.options.cfg.daemonId
-            ? await here()
-            : await there(mesh.get(daemonId));
+            ? await runLocally()
+            : await callRemote(mesh.get(daemonId));
         } catch (err) {
-          last = err;
+          lastError = err;
         }
       }
-      await clock.sleep(PROPOSE_PAUSE_MS);
+      await clock.sleep(LEADER_RETRY_PAUSE_MS);
     }
-    throw new schemas.StepError({ id: 'notLeader', step: 'ask-leader', cause: last });
+    throw new schemas.StepError({ id: 'notLeader', step: 'ask-leader', cause: lastError });
   }
 
   private *listLeaders(): Generator<string> {
@@ -133,7 +133,7 @@
     }
   }
 
-  private async openFolder(): Promise<consensus.FileStorage> {
+  private async openStorage(): Promise<consensus.FileStorage> {
     const files = new consensus.DirectoryStorage(
       path.join(this.options.cfg.dataFolder ?? '', 'log'),
     );
@@ -166,7 +166,7 @@
       timings: cfg.timings,
       random,
     });
-    this.feedStore();
+    this.updateStore();
     await consensus.runElections(this.voter, signal);
   }
 
@@ -174,19 +174,19 @@
     return {
       apply: (entry) => {
         const result = this.state.apply(entry.data as schemas.Command, entry.index);
-        this.feedStore();
+        this.updateStore();
         return result;
       },
       getSnapshot: () => this.state.getSnapshot(),
       restore: (snapshot) => {
         this.state.restore(snapshot as intents.ControlSnapshot);
-        this.feedStore();
+        this.updateStore();
       },
     };
   }
 
   /** Only applied entries come here, so only what a majority holds is ever put in force. */
-  private feedStore(): void {
+  private updateStore(): void {
     const { store } = this.options;
     const deltas = this.state.findDeltas(store.get().revision);
     if (deltas === undefined || !store.offerDeltas(deltas)) {
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -7,20 +7,20 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as polka from 'polka';
 
-import * as adoptions from './adoption-table.js';
+import * as adoptionRegistries from './adoption-registry.js';
 import * as callerApis from './caller-api.js';
-import * as claimDesks from './claim-desk.js';
+import * as claimServices from './claim-service.js';
 import * as controlPlanes from './control-plane.js';
 import * as decisionLogs from './decision-log.js';
-import * as grantClients from './grant-client.js';
+import type * as handlerContexts from './handler-context.js';
 import * as leaderTasks from './leader-tasks.js';
-import * as metricSinks from './metrics.js';
+import * as daemonMetrics from './metrics.js';
 import * as operatorApis from './operator-api.js';
-import type * as parts from './parts.js';
 import * as peerMeshes from './peer-mesh.js';
 import * as peerRouters from './peer-router.js';
-import * as platformWatches from './platform-watch.js';
-import * as poolHosts from './pool-host.js';
+import * as platformPollers from './platform-poller.js';
+import * as poolClients from './pool-client.js';
+import * as poolManagers from './pool-manager.js';
 import * as teamAccess from './team-access.js';
 
 /** How long the balancer may still send requests after readiness fails, in milliseconds. */
@@ -30,7 +30,7 @@
 const MAX_HEADER_BYTES = 16_384;
 
 /** How long a client may take over its headers, in milliseconds. */
-const HEADERS_MS = 10_000;
+const HEADERS_TIMEOUT_MS = 10_000;
 
 /** What a daemon needs besides its settings. */
 export interface DaemonOptions {
@@ -47,14 +47,14 @@
   public readonly view: members.ZoneView;
   public readonly control: controlPlanes.ControlPlane;
   public readonly leader: leaderTasks.LeaderTasks;
-  public readonly poolHost: poolHosts.PoolHost;
-  public readonly parts: parts.Parts;
+  public readonly poolManager: poolManagers.PoolManager;
+  public readonly context: handlerContexts.HandlerContext;
   private readonly clock: schemas.Clock;
   private readonly keyring: peers.Keyring;
   private readonly syncServer: members.SyncServer;
   private readonly syncClient: members.SyncClient;
   private readonly peerServer: peers.PeerServer;
-  private readonly platform: platformWatches.PlatformWatch;
+  private readonly platform: platformPollers.PlatformPoller;
   private readonly server: http.Server;
   private isCut = false;
   private stopping: Promise<void> | undefined;
@@ -69,9 +69,9 @@
     this.clock = clock;
     this.keyring = new peers.Keyring(cfg.keysFile);
     this.store = new members.ConfigurationStore(clock);
-    this.view = new members.ZoneView(() => this.createBeat(), clock, cfg.timings.suspectMs);
+    this.view = new members.ZoneView(() => this.createHeartbeat(), clock, cfg.timings.suspectMs);
     this.mesh = new peerMeshes.PeerMesh(this.keyring, cfg.timings.peerDeadlineMs, (id) =>
-      this.findPlace(id),
+      this.findPeerAddress(id),
     );
     const { store, view, mesh } = this;
     const engines = new requests.EngineClient({
@@ -87,23 +87,23 @@
       engines,
       holdsClaims: async (daemonId) =>
         daemonId === cfg.daemonId
-          ? this.parts.claims.seat.isComplete()
+          ? this.context.claims.acceptor.isComplete()
           : mesh.get(daemonId).holdsClaims.mutate(),
       clock,
       log,
     });
-    this.poolHost = new poolHosts.PoolHost({ cfg, view, store, engines, clock, log });
-    this.parts = this.createParts(engines, clock, random);
+    this.poolManager = new poolManagers.PoolManager({ cfg, view, store, engines, clock, log });
+    this.context = this.createContext(engines, clock, random);
     this.syncServer = this.createSyncServer();
     this.syncClient = this.createSyncClient();
-    this.platform = new platformWatches.PlatformWatch({
+    this.platform = new platformPollers.PlatformPoller({
       url: cfg.platformUrl,
       availabilityZone: cfg.availabilityZone,
       clock,
       log,
-      isDue: () => view.isRelay(),
-      dueChanged: view.changed,
-      take: (list) => view.setUpstreams(list),
+      isActive: () => view.isRelay(),
+      activeChanged: view.changed,
+      onUpstreams: (list) => view.setUpstreams(list),
     });
     this.peerServer = new peers.PeerServer(peerRouters.createPeerRouter(this.createHandlers()), {
       host: cfg.host,
@@ -122,9 +122,9 @@
     void this.syncClient.run();
     void this.platform.run();
     void this.leader.run();
-    void this.poolHost.run();
-    void this.parts.grants.run();
-    void this.parts.claims.run();
+    void this.poolManager.run();
+    void this.context.poolClient.run();
+    void this.context.claims.run();
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
       this.server.listen(this.cfg.callerPort, this.cfg.host, resolve);
@@ -142,25 +142,25 @@
 
   /** Ends at once, as a killed process does; for failure tests. */
   public kill(): void {
-    this.end();
+    this.shutDown();
     this.server.closeAllConnections();
     this.server.close();
   }
 
   /** Cuts this daemon off from some of its peers; for failure tests. */
-  public cut(isCutOff: (daemonId: string) => boolean, isDeaf: boolean): void {
-    this.mesh.setCut(isCutOff);
-    this.isCut = isDeaf;
+  public simulatePartition(isCutOff: (daemonId: string) => boolean, isInboundCut: boolean): void {
+    this.mesh.setPartition(isCutOff);
+    this.isCut = isInboundCut;
   }
 
   private async stopGracefully(): Promise<void> {
-    const { drain } = this.parts;
+    const { drain } = this.context;
     this.options.log.info({ decision: 'drain', reason: 'planned stop', active: drain.getActive() });
     drain.begin();
     // The zone hears of it with the next heartbeat, so pools move away while requests finish here.
     this.view.refresh();
     await drain.waitIdle(BALANCER_LAG_MS);
-    this.end();
+    this.shutDown();
     await new Promise<void>((resolve) => {
       this.server.close(() => resolve());
       this.server.closeIdleConnections();
@@ -169,19 +169,19 @@
     this.options.log.info({ decision: 'stopped', reason: 'planned stop' });
   }
 
-  private end(): void {
+  private shutDown(): void {
     this.syncClient.stop();
     this.platform.stop();
     this.leader.stop();
-    this.poolHost.stop();
-    this.parts.grants.stop();
-    this.parts.claims.stop();
+    this.poolManager.stop();
+    this.context.poolClient.stop();
+    this.context.claims.stop();
     this.control.stop();
     this.peerServer.close();
     this.mesh.close();
-    void this.parts.engines.close();
-    void this.parts.services.close();
-    this.parts.metrics.close();
+    void this.context.engines.close();
+    void this.context.services.close();
+    this.context.metrics.close();
   }
 
   private describeLinks(): object {
@@ -192,11 +192,11 @@
 
   private getRole(): string {
     const { voter } = this.control;
-    const seat = voter?.isLeader() ? 'leader' : 'voter';
-    return `${voter === undefined ? 'daemon' : seat}${this.view.isRelay() ? '+relay' : ''}`;
+    const controlRole = voter?.isLeader() ? 'leader' : 'voter';
+    return `${voter === undefined ? 'daemon' : controlRole}${this.view.isRelay() ? '+relay' : ''}`;
   }
 
-  private createBeat(): schemas.Beat {
+  private createHeartbeat(): schemas.Beat {
     const { daemonId, availabilityZone, host, peerPort, callerPort } = this.cfg;
     return {
       daemonId,
@@ -205,12 +205,12 @@
       host,
       peerPort,
       callerPort,
-      isLeaving: this.parts?.drain.isDraining() ?? false,
+      isLeaving: this.context?.drain.isDraining() ?? false,
       revision: this.store.get().revision,
     };
   }
 
-  private findPlace(daemonId: string): peerMeshes.PeerPlace | undefined {
+  private findPeerAddress(daemonId: string): peerMeshes.PeerAddress | undefined {
     const { members: listed } = this.view.getDirectory();
     return (
       listed.find((item) => item.daemonId === daemonId) ??
@@ -218,11 +218,11 @@
     );
   }
 
-  private createParts(
+  private createContext(
     engines: requests.EngineClient,
     clock: schemas.Clock,
     random: () => number,
-  ): parts.Parts {
+  ): handlerContexts.HandlerContext {
     const { cfg, incarnation, mesh, store, view } = this;
     const { log } = this.options;
     const calls = new requests.CallRegistry(clock);
@@ -233,16 +233,16 @@
       engines,
       calls,
       decisions: new decisionLogs.DecisionLog(log),
-      metrics: new metricSinks.Metrics(cfg),
+      metrics: new daemonMetrics.Metrics(cfg),
       access: new teamAccess.TeamAccess(cfg, store, () => view.entries),
       services: new requests.ServiceClient({
         connectMs: cfg.limits.upstreamConnectMs,
         answerMs: cfg.limits.queueMs,
         answerBytes: cfg.limits.bodyBytes,
       }),
-      grants: new grantClients.GrantClient({ ...shared, host: this.poolHost }),
-      claims: new claimDesks.ClaimDesk({ ...shared, calls }),
-      adoptions: new adoptions.AdoptionTable(),
+      poolClient: new poolClients.PoolClient({ ...shared, poolManager: this.poolManager }),
+      claims: new claimServices.ClaimService({ ...shared, calls }),
+      adoptions: new adoptionRegistries.AdoptionRegistry(),
       ids: new requests.GenerationIdCodec(() => this.keyring.listKeys()),
       budget: new requests.RetryBudget(clock),
       drain: new requests.Drain(clock),
@@ -265,7 +265,7 @@
   private createSyncClient(): members.SyncClient {
     const { cfg, clock, mesh, store, view } = this;
     return new members.SyncClient({
-      self: () => this.createBeat(),
+      self: () => this.createHeartbeat(),
       isVoter: cfg.voter,
       isLeader: () => this.control.voter?.isLeader() ?? false,
       seeds: cfg.peers,
@@ -277,7 +277,7 @@
       deadlineMs: cfg.timings.peerDeadlineMs,
       sync: async (peer, req, deadlineMs) => {
         const res = await mesh.sync(peer, req, deadlineMs);
-        this.control.noteLeader(res.leader);
+        this.control.setLeaderHint(res.leader);
         return res;
       },
     });
@@ -288,7 +288,7 @@
   }
 
   private createHandlers(): peerRouters.PeerHandlers {
-    const { control, leader, poolHost, parts: shared, syncServer } = this;
+    const { control, leader, poolManager, context: shared, syncServer } = this;
     return {
       genesis: async () => control.getGenesis(),
       vote: (req) => control.getVoter().handleVote(req),
@@ -299,11 +299,11 @@
       status: async () => leader.describeStatus(),
       changeVoters: (change) => control.changeVoters(change),
       refoundClaims: () => leader.refoundClaims(),
-      grant: ({ model, req }) => poolHost.grant(model, req),
-      pool: async (report) => poolHost.takeReport(report),
-      claim: async (req) => shared.claims.seat.handleClaim(req),
-      recover: async (req) => shared.claims.seat.handleRecover(req),
-      holdsClaims: async () => shared.claims.seat.isComplete(),
+      grant: ({ model, req }) => poolManager.grant(model, req),
+      pool: async (report) => poolManager.applyReport(report),
+      claim: async (req) => shared.claims.acceptor.handleClaim(req),
+      recover: async (req) => shared.claims.acceptor.handleRecover(req),
+      holdsClaims: async () => shared.claims.acceptor.isComplete(),
       outcome: ({ call, waitMs }) => shared.calls.await(call, waitMs),
       adopt: async ({ generation }) => shared.adoptions.adopt(generation),
     };
@@ -312,17 +312,17 @@
   private createHttpServer(): http.Server {
     const server = http.createServer({
       maxHeaderSize: MAX_HEADER_BYTES,
-      headersTimeout: HEADERS_MS,
+      headersTimeout: HEADERS_TIMEOUT_MS,
       requestTimeout: 0,
-      connectionsCheckingInterval: HEADERS_MS / 4,
+      connectionsCheckingInterval: HEADERS_TIMEOUT_MS / 4,
     });
     const app = polka.default({ server, onNoMatch: callerApis.refuseRoute });
-    new callerApis.CallerApi(this.parts).addTo(app);
+    new callerApis.CallerApi(this.context).addTo(app);
     new operatorApis.OperatorApi({
       cfg: this.cfg,
       control: this.control,
       leader: this.leader,
-      decisions: this.parts.decisions,
+      decisions: this.context.decisions,
       getDeclaration: () => this.store.get().declaration,
       describeLinks: () => this.describeLinks(),
       reloadKeys: () => this.keyring.reload(),
--- a/packages/daemon/src/decision-log.ts
+++ b/packages/daemon/src/decision-log.ts
@@ -1,7 +1,7 @@
 import type * as schemas from '@bramleyridge/schemas';
 
 /** How many decisions are kept for `explain`. */
-const MAX_KEPT = 5_000;
+const MAX_DECISIONS = 5_000;
 
 /** One decision with its reason and figures; never prompt or answer text. */
 export interface Decision {
@@ -16,22 +16,22 @@
 
 /** Writes a log line for each decision and keeps the last ones for operators who ask. */
 export class DecisionLog {
-  private kept: (Decision & { readonly at: string })[] = [];
+  private recent: (Decision & { readonly at: string })[] = [];
 
   public constructor(private readonly log: schemas.Log) {}
 
   /** Notes a decision. */
-  public note(decision: Decision): void {
+  public record(decision: Decision): void {
     this.log.info(decision);
-    this.kept.push({ ...decision, at: new Date().toISOString() });
-    if (this.kept.length > 2 * MAX_KEPT) {
-      this.kept = this.kept.slice(-MAX_KEPT);
+    this.recent.push({ ...decision, at: new Date().toISOString() });
+    if (this.recent.length > 2 * MAX_DECISIONS) {
+      this.recent = this.recent.slice(-MAX_DECISIONS);
     }
   }
 
   /** The decisions on one request, oldest first. */
   public explain(request: string): (Decision & { readonly at: string })[] {
-    return this.kept.filter(
+    return this.recent.filter(
       (item) => item.request === request || request.startsWith(`${item.request}.`),
     );
   }
--- a/packages/daemon/src/relay-flow.ts
+++ b/packages/daemon/src/generation-relay.ts
@@ -5,7 +5,7 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import * as callerStreams from './caller-stream.js';
-import type * as parts from './parts.js';
+import type * as handlerContexts from './handler-context.js';
 
 /** A generation that is to be passed on to a caller. */
 export interface RelayTask {
@@ -21,12 +21,12 @@
 }
 
 /** Passes generations on, and decides what becomes of one whose caller is gone. */
-export class RelayFlow {
-  public constructor(private readonly parts: parts.Parts) {}
+export class GenerationRelay {
+  public constructor(private readonly context: handlerContexts.HandlerContext) {}
 
   /** Streams a generation to a caller. */
   public async stream(task: RelayTask, res: http.ServerResponse): Promise<requests.RelayEnd> {
-    const { cfg } = this.parts;
+    const { cfg } = this.context;
     const { generation, model } = task;
     const caller = new callerStreams.CallerStream(res, { generation, model, limits: cfg.limits });
     return this.run(
@@ -57,8 +57,8 @@
     isConnected: () => boolean,
     close: (end: requests.RelayEnd) => void,
   ): Promise<requests.RelayEnd> {
-    const { adoptions, cfg, clock, engines, grants, log } = this.parts;
-    adoptions.open(task.generation, isConnected);
+    const { adoptions, cfg, clock, engines, poolClient, log } = this.context;
+    adoptions.register(task.generation, isConnected);
     const relay = requests.relayGeneration(
       {
         engines,
@@ -68,7 +68,7 @@
         silenceMs: cfg.limits.upstreamSilenceMs,
         clock,
         log,
-        onProgress: (next) => grants.progress(task.call, next),
+        onProgress: (next) => poolClient.recordProgress(task.call, next),
       },
       task.body,
     );
@@ -76,15 +76,15 @@
       const end = await this.pump(relay, write, isConnected);
       if (end !== undefined) {
         close(end);
-        grants.finish(task.call, end.outcome === 'complete');
-        this.note(task, end);
+        poolClient.release(task.call, end.outcome === 'complete');
+        this.recordOutcome(task, end);
         return end;
       }
       await relay.return({ outcome: 'incomplete', next: 0 });
-      return await this.leaveAlone(task);
+      return await this.awaitAdoption(task);
     } finally {
-      adoptions.close(task.generation);
-      grants.finish(task.call, false);
+      adoptions.remove(task.generation);
+      poolClient.release(task.call, false);
     }
   }
 
@@ -110,16 +110,17 @@
    * with the generation; if nobody comes the engine is told to stop, so that it does not fill its memory
    * for nobody.
    */
-  private async leaveAlone(task: RelayTask): Promise<requests.RelayEnd> {
-    const { adoptions, cfg, clock, engines, log } = this.parts;
+  private async awaitAdoption(task: RelayTask): Promise<requests.RelayEnd> {
+    const { adoptions, cfg, clock, engines, log } = this.context;
     const { generation, upstream } = task;
     const graceMs = cfg.limits.callerGraceMs;
-    const isAdopted = !task.mayCancel || (await adoptions.waitAdopted(generation, clock, graceMs));
+    const isAdopted =
+      !task.mayCancel || (await adoptions.waitForAdoption(generation, clock, graceMs));
     const end: requests.RelayEnd = { outcome: 'incomplete', next: 0 };
     if (isAdopted) {
       return end;
     }
-    this.note(task, end);
+    this.recordOutcome(task, end);
     try {
       await engines.cancel(upstream, generation);
     } catch (err) {
@@ -128,10 +129,10 @@
     return end;
   }
 
-  private note(task: RelayTask, end: requests.RelayEnd): void {
-    const { cfg, decisions, metrics } = this.parts;
+  private recordOutcome(task: RelayTask, end: requests.RelayEnd): void {
+    const { cfg, decisions, metrics } = this.context;
     metrics.count('requests', { outcome: end.outcome, team: task.team });
-    decisions.note({
+    decisions.record({
       decision: 'outcome',
       request: task.generation,
       team: task.team,
--- a/packages/daemon/src/parts.ts
+++ b/packages/daemon/src/handler-context.ts
@@ -2,16 +2,16 @@
 import type * as requests from '@bramleyridge/requests';
 import type * as schemas from '@bramleyridge/schemas';
 
-import type * as adoptions from './adoption-table.js';
-import type * as claimDesks from './claim-desk.js';
+import type * as adoptionRegistries from './adoption-registry.js';
+import type * as claimServices from './claim-service.js';
 import type * as decisionLogs from './decision-log.js';
-import type * as grantClients from './grant-client.js';
-import type * as metricSinks from './metrics.js';
+import type * as daemonMetrics from './metrics.js';
 import type * as peerMeshes from './peer-mesh.js';
+import type * as poolClients from './pool-client.js';
 import type * as teamAccess from './team-access.js';
 
 /** What the flows of requests share. */
-export interface Parts {
+export interface HandlerContext {
   readonly cfg: schemas.DaemonConfig;
   readonly incarnation: number;
   /** What the name of every call of this process begins with; a number follows. */
@@ -19,17 +19,17 @@
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly decisions: decisionLogs.DecisionLog;
-  readonly metrics: metricSinks.Metrics;
+  readonly metrics: daemonMetrics.Metrics;
   readonly store: members.ConfigurationStore;
   readonly view: members.ZoneView;
   readonly mesh: peerMeshes.PeerMesh;
   readonly access: teamAccess.TeamAccess;
   readonly engines: requests.EngineClient;
   readonly services: requests.ServiceClient;
-  readonly grants: grantClients.GrantClient;
-  readonly claims: claimDesks.ClaimDesk;
+  readonly poolClient: poolClients.PoolClient;
+  readonly claims: claimServices.ClaimService;
   readonly calls: requests.CallRegistry;
-  readonly adoptions: adoptions.AdoptionTable;
+  readonly adoptions: adoptionRegistries.AdoptionRegistry;
   readonly ids: requests.GenerationIdCodec;
   readonly budget: requests.RetryBudget;
   readonly drain: requests.Drain;
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,5 +1,5 @@
 /** The daemon, for tests and the bench; the program is `bramleyridged`. */
-export * from './claim-seating.js';
+export * from './choose-claim-acceptors.js';
 export * from './completion-body.js';
 export * from './daemon.js';
 export * from './peer-mesh.js';
--- a/packages/daemon/src/leader-tasks.ts
+++ b/packages/daemon/src/leader-tasks.ts
@@ -4,21 +4,21 @@
 import type * as requests from '@bramleyridge/requests';
 import * as schemas from '@bramleyridge/schemas';
 
-import * as claimSeating from './claim-seating.js';
+import * as claimAcceptors from './choose-claim-acceptors.js';
 import type * as controlPlanes from './control-plane.js';
-import * as platformWatches from './platform-watch.js';
 import type * as peerRouters from './peer-router.js';
+import * as platformPollers from './platform-poller.js';
 
 /** How often the leader compares what is wanted with what is seen, in milliseconds. */
-const ROUND_MS = 500;
+const ROUND_INTERVAL_MS = 500;
 
 /** How often an upstream that nothing was ordered of is looked at, in milliseconds. */
-const LOOK_MS = 10_000;
+const IDLE_POLL_INTERVAL_MS = 10_000;
 
 /** After how long without a word a zone's revision is not known to be in force, in milliseconds. */
-const ZONE_SILENT_MS = 5_000;
+const ZONE_TIMEOUT_MS = 5_000;
 
-interface Seen extends placement.ObservedUpstream {
+interface ObservedEngine extends placement.ObservedUpstream {
   readonly at: number;
 }
 
@@ -39,25 +39,25 @@
 export class LeaderTasks {
   public readonly zones: members.ZoneStatus;
   private upstreams = new Map<string, schemas.Upstream>();
-  private readonly seen = new Map<string, Seen>();
-  private readonly platform: platformWatches.PlatformWatch;
+  private readonly observedEngines = new Map<string, ObservedEngine>();
+  private readonly platform: platformPollers.PlatformPoller;
   private sender: placement.OrderSender | undefined;
   private senderTerm = -1;
-  private lookAtRevision = -1;
+  private polledRevision = -1;
   private isStopped = false;
 
   public constructor(private readonly options: LeaderTasksOptions) {
     const { cfg, clock, log } = options;
     this.zones = new members.ZoneStatus(clock);
-    this.platform = new platformWatches.PlatformWatch({
+    this.platform = new platformPollers.PlatformPoller({
       url: cfg.platformUrl,
       availabilityZone: undefined,
       clock,
       log,
-      isDue: () => this.isLeader(),
+      isActive: () => this.isLeader(),
       // A new leader may wait for the next look: orders come from rounds, and no caller waits for its list.
-      dueChanged: new schemas.ChangeSignal(),
-      take: (list) => this.takeUpstreams(list),
+      activeChanged: new schemas.ChangeSignal(),
+      onUpstreams: (list) => this.setUpstreams(list),
     });
   }
 
@@ -70,7 +70,7 @@
           this.options.log.warn({ step: 'leader-round', err: schemas.toError(err).message });
         });
       }
-      await this.options.clock.sleep(ROUND_MS);
+      await this.options.clock.sleep(ROUND_INTERVAL_MS);
     }
   }
 
@@ -81,33 +81,33 @@
   }
 
   /** Checks and proposes a command, and tells what a plan would do, host by host. */
-  public async propose(command: schemas.Command): Promise<peerRouters.ProposeAnswer> {
+  public async propose(command: schemas.Command): Promise<peerRouters.ProposeResult> {
     const { control } = this.options;
     await control.getLeadership().barrier();
     if (command.kind !== 'plan') {
-      return { faults: [], effects: [], result: await control.proposeHere(command) };
+      return { faults: [], effects: [], result: await control.proposeLocally(command) };
     }
     if (this.upstreams.size === 0) {
-      await this.platform.readOnce();
+      await this.platform.poll();
     }
-    await this.look(true);
-    const faults = intents.checkDeclaration(command.declaration, this.getFacts());
+    await this.pollEngines(true);
+    const faults = intents.checkDeclaration(command.declaration, this.getDeploymentFacts());
     if (faults.length > 0) {
       return { faults, effects: [] };
     }
-    const observed = [...this.seen.values()];
+    const observed = [...this.observedEngines.values()];
     const desired = placement.getDesiredReplicas(command.declaration, observed);
     const effects = placement
       .planReconcileSteps(desired, observed)
-      .map((step) => this.describe(step));
-    return { faults, effects, result: await control.proposeHere(command) };
+      .map((step) => this.describeStep(step));
+    return { faults, effects, result: await control.proposeLocally(command) };
   }
 
   /** What operators are told. */
   public describeStatus(): schemas.StatusReport {
     const { cfg, control, store } = this.options;
     const { revision, claimSeats } = store.get();
-    this.hearOwnZone();
+    this.recordOwnZone();
     return {
       leader: cfg.daemonId,
       term: control.getLeadership().term,
@@ -116,7 +116,7 @@
       voters: control.describeVoters(),
       zones: this.describeZones(revision),
       plans: control.state.listPlans().slice(0, 20),
-      upstreams: [...this.seen.values()].map((item) => ({
+      upstreams: [...this.observedEngines.values()].map((item) => ({
         upstreamId: item.upstream.upstreamId,
         availabilityZone: item.upstream.availabilityZone,
         models: item.models.map((held) => `${held.model}:${held.version}`),
@@ -125,7 +125,7 @@
   }
 
   /** The leader's own zone reports to nobody else when the leader is its relay. */
-  private hearOwnZone(): void {
+  private recordOwnZone(): void {
     const { view } = this.options;
     const [own, ...others] = view.listHeartbeats();
     if (view.isRelay() && own !== undefined) {
@@ -135,16 +135,16 @@
 
   /** A zone that is not heard is never said to have a revision in force. */
   private describeZones(revision: number): schemas.StatusReport['zones'] {
-    const heard = new Map(this.zones.list().map((row) => [row.availabilityZone, row]));
+    const reported = new Map(this.zones.list().map((row) => [row.availabilityZone, row]));
     return this.listZoneNames().map((availabilityZone) => {
-      const row = heard.get(availabilityZone);
+      const row = reported.get(availabilityZone);
       const hosts = row?.hosts ?? [];
       const silentMs = row?.silentMs ?? -1;
-      const isHeard = row !== undefined && silentMs < ZONE_SILENT_MS;
+      const isRecent = row !== undefined && silentMs < ZONE_TIMEOUT_MS;
       return {
         availabilityZone,
         silentMs,
-        isInForce: isHeard && hosts.every((host) => host.revision >= revision),
+        isInForce: isRecent && hosts.every((host) => host.revision >= revision),
         hosts: hosts.map((host) => ({
           daemonId: host.daemonId,
           revision: host.revision,
@@ -157,21 +157,21 @@
 
   private async round(): Promise<void> {
     const { cfg, control, store } = this.options;
-    await this.seat();
+    await this.updateClaimAcceptors();
     const leadership = control.getLeadership();
     if (!leadership.isLeaseHeld(placement.getOrderDeadlineMs(cfg.timings.leaseMs))) {
       return;
     }
     const { revision, declaration } = store.get();
-    await this.look(revision !== this.lookAtRevision);
-    this.lookAtRevision = revision;
-    const observed = [...this.seen.values()];
+    await this.pollEngines(revision !== this.polledRevision);
+    this.polledRevision = revision;
+    const observed = [...this.observedEngines.values()];
     const steps = placement.planReconcileSteps(
       placement.getDesiredReplicas(declaration, observed),
       observed,
     );
-    const taken = await this.getSender().run(steps, this.upstreams);
-    taken.forEach((id) => this.seen.delete(id));
+    const ordered = await this.getSender().run(steps, this.upstreams);
+    ordered.forEach((id) => this.observedEngines.delete(id));
   }
 
   private getSender(): placement.OrderSender {
@@ -194,51 +194,65 @@
     return this.sender;
   }
 
-  private async look(isAll: boolean): Promise<void> {
+  private async pollEngines(isAll: boolean): Promise<void> {
     const now = this.options.clock.now();
     const due = [...this.upstreams.values()]
       .filter((item) => item.kind === 'engine')
-      .filter((item) => isAll || now - (this.seen.get(item.upstreamId)?.at ?? -Infinity) > LOOK_MS);
-    await Promise.all(due.map((upstream) => this.lookAt(upstream, now)));
+      .filter(
+        (item) =>
+          isAll ||
+          now - (this.observedEngines.get(item.upstreamId)?.at ?? -Infinity) >
+            IDLE_POLL_INTERVAL_MS,
+      );
+    await Promise.all(due.map((upstream) => this.pollEngine(upstream, now)));
   }
 
-  private async lookAt(upstream: schemas.Upstream, at: number): Promise<void> {
+  private async pollEngine(upstream: schemas.Upstream, at: number): Promise<void> {
     try {
-      const answer = await this.options.engines.getJson(upstream, '/load');
-      const report = schemas.parse(schemas.loadReport, answer, 'load-report');
+      const response = await this.options.engines.getJson(upstream, '/load');
+      const report = schemas.parse(schemas.loadReport, response, 'load-report');
       const isLeaving = report.state === 'leaving' || upstream.state === 'leaving';
-      this.seen.set(upstream.upstreamId, { upstream, isLeaving, models: report.models, at });
+      this.observedEngines.set(upstream.upstreamId, {
+        upstream,
+        isLeaving,
+        models: report.models,
+        at,
+      });
     } catch {
-      this.seen.delete(upstream.upstreamId);
+      this.observedEngines.delete(upstream.upstreamId);
     }
   }
 
   /** Begins a new claim group that remembers nothing, after a majority of the old one has forgotten. */
   public async refoundClaims(): Promise<void> {
     await this.options.control.getLeadership().barrier();
-    const holders = claimSeating.chooseHolders([], this.listLive(), this.options.cfg.claimSeats);
+    const holders = claimAcceptors.chooseClaimAcceptors(
+      [],
+      this.listLive(),
+      this.options.cfg.claimSeats,
+    );
     if (holders === undefined) {
       throw new schemas.StepError({ id: 'claimRefused', step: 'refound' });
     }
-    await this.proposeSeats(holders, true);
+    await this.proposeClaimAcceptors(holders, true);
   }
 
-  private async seat(): Promise<void> {
+  private async updateClaimAcceptors(): Promise<void> {
     const { cfg, store } = this.options;
     const { claimSeats } = store.get();
-    this.hearOwnZone();
-    const holders = await claimSeating.chooseNextHolders({
-      seats: claimSeats,
+    this.recordOwnZone();
+    const holders = await claimAcceptors.chooseNextClaimAcceptors({
+      acceptors: claimSeats,
       live: this.listLive(),
-      wanted: cfg.claimSeats,
-      holdsClaims: (daemonId) => this.askHoldsClaims(daemonId),
+      allowed: cfg.claimSeats,
+      holdsClaims: (daemonId) => this.checkHoldsClaims(daemonId),
     });
     if (holders !== undefined) {
-      await this.proposeSeats(holders, false);
+      await this.proposeClaimAcceptors(holders, false);
     }
   }
 
-  private async askHoldsClaims(daemonId: string): Promise<boolean> {
+  private async checkHoldsClaims(daemonId: string): Promise<boolean> {
     try {
       return await this.options.holdsClaims(daemonId);
     } catch (err) {
@@ -256,10 +270,10 @@
     return live.filter((host) => known.has(host.daemonId));
   }
 
-  private async proposeSeats(holders: string[], isFounding: boolean): Promise<void> {
+  private async proposeClaimAcceptors(holders: string[], isFounding: boolean): Promise<void> {
     const reason = isFounding ? 'an operator founds the group anew' : 'holders changed';
     this.options.log.info({ decision: 'seat-claims', reason, holders });
-    await this.options.control.proposeHere({
+    await this.options.control.proposeLocally({
       kind: 'seats',
       requestId: `seats-${Date.now()}`,
       operator: 'leader',
@@ -269,20 +283,20 @@
     });
   }
 
-  private takeUpstreams(list: readonly schemas.Upstream[]): void {
+  private setUpstreams(list: readonly schemas.Upstream[]): void {
     this.upstreams = new Map(list.map((item) => [item.upstreamId, item]));
-    [...this.seen.keys()]
+    [...this.observedEngines.keys()]
       .filter((id) => !this.upstreams.has(id))
-      .forEach((id) => this.seen.delete(id));
+      .forEach((id) => this.observedEngines.delete(id));
   }
 
-  private describe(step: placement.ReconcileStep): string {
+  private describeStep(step: placement.ReconcileStep): string {
     const { upstreamId, model, version } = step.slot;
     const zone = this.upstreams.get(upstreamId)?.availabilityZone ?? '?';
     return `${step.action} ${model}:${version} on ${upstreamId} in ${zone} (${step.reason})`;
   }
 
-  private getFacts(): intents.DeploymentFacts {
+  private getDeploymentFacts(): intents.DeploymentFacts {
     return {
       availabilityZones: this.listZoneNames(),
       upstreams: [...this.upstreams.values()],
@@ -292,9 +306,9 @@
 
   private listZoneNames(): string[] {
     const { cfg } = this.options;
-    const heard = this.zones.list().map((zone) => zone.availabilityZone);
+    const reported = this.zones.list().map((zone) => zone.availabilityZone);
     const listed = cfg.peers.map((peer) => peer.availabilityZone);
-    return [...new Set([cfg.availabilityZone, ...listed, ...heard])].sort();
+    return [...new Set([cfg.availabilityZone, ...listed, ...reported])].sort();
   }
 
   private isLeader(): boolean {
--- a/packages/daemon/src/operator-api.ts
+++ b/packages/daemon/src/operator-api.ts
@@ -11,7 +11,7 @@
 import * as peerRouters from './peer-router.js';
 
 /** How long the leader may take to answer, in milliseconds. */
-const LEADER_MS = 4_000;
+const LEADER_DEADLINE_MS = 4_000;
 
 const planBody = z.strictObject({
   requestId: z.string().min(1).max(128),
@@ -119,10 +119,10 @@
 
   private authenticate(req: http.IncomingMessage): string {
     const secret = /^Bearer (.+)$/i.exec(req.headers.authorization ?? '')?.[1] ?? '';
-    const found = this.options.cfg.operators.filter((item) =>
+    const matches = this.options.cfg.operators.filter((item) =>
       schemas.isSecretOf(secret, item.sha256),
     );
-    if (found[0] === undefined) {
+    if (matches[0] === undefined) {
       throw new schemas.Refusal({
         id: 'operatorToken',
         step: 'authenticate',
@@ -130,7 +130,7 @@
         outcome: 'not-run',
       });
     }
-    return found[0].operator;
+    return matches[0].operator;
   }
 
   private async plan(
@@ -142,18 +142,18 @@
     const body = requests.parseJson(planBody, raw);
     const { requestId, files } = body;
     const declaration = schemas.createDeclaration(files);
-    const answer = await this.propose({
+    const proposed = await this.propose({
       kind: 'plan',
       requestId,
       operator,
       at: Date.now(),
       declaration,
     });
-    if (answer.faults.length > 0 || answer.result?.kind !== 'planned') {
-      requests.sendJson(res, 422, { faults: answer.faults });
+    if (proposed.faults.length > 0 || proposed.result?.kind !== 'planned') {
+      requests.sendJson(res, 422, { faults: proposed.faults });
       return;
     }
-    requests.sendJson(res, 200, { plan: answer.result.plan, effects: answer.effects });
+    requests.sendJson(res, 200, { plan: proposed.result.plan, effects: proposed.effects });
   }
 
   private async confirm(
@@ -178,28 +178,28 @@
     requests.sendJson(res, 200, result);
   }
 
-  private propose(command: schemas.Command): Promise<peerRouters.ProposeAnswer> {
+  private propose(command: schemas.Command): Promise<peerRouters.ProposeResult> {
     const { control, leader } = this.options;
-    return control.atLeader(
+    return control.callLeader(
       () => leader.propose(command),
-      (api) => api.propose.mutate(command, { context: { deadlineMs: LEADER_MS } }),
+      (api) => api.propose.mutate(command, { context: { deadlineMs: LEADER_DEADLINE_MS } }),
     );
   }
 
   private async showStatus(res: http.ServerResponse): Promise<void> {
     const { control, leader } = this.options;
-    const status = await control.atLeader(
+    const status = await control.callLeader(
       async () => leader.describeStatus(),
-      (api) => api.status.mutate(undefined, { context: { deadlineMs: LEADER_MS } }),
+      (api) => api.status.mutate(undefined, { context: { deadlineMs: LEADER_DEADLINE_MS } }),
     );
     requests.sendJson(res, 200, status);
   }
 
   private async refoundClaims(res: http.ServerResponse): Promise<void> {
     const { control, leader } = this.options;
-    await control.atLeader(
+    await control.callLeader(
       () => leader.refoundClaims(),
-      (api) => api.refoundClaims.mutate(undefined, { context: { deadlineMs: LEADER_MS } }),
+      (api) => api.refoundClaims.mutate(undefined, { context: { deadlineMs: LEADER_DEADLINE_MS } }),
     );
     requests.sendJson(res, 200, {});
   }
@@ -208,9 +208,9 @@
     const raw = await requests.readBody(req, this.options.cfg.limits);
     const change = requests.parseJson(peerRouters.voterChange, raw);
     const { control } = this.options;
-    await control.atLeader(
+    await control.callLeader(
       () => control.changeVoters(change),
-      (api) => api.changeVoters.mutate(change, { context: { deadlineMs: LEADER_MS } }),
+      (api) => api.changeVoters.mutate(change, { context: { deadlineMs: LEADER_DEADLINE_MS } }),
     );
     requests.sendJson(res, 200, {});
   }
--- a/packages/daemon/src/peer-mesh.ts
+++ b/packages/daemon/src/peer-mesh.ts
@@ -8,7 +8,7 @@
 export type PeerApi = peers.PeerApi<peerRouters.PeerRouter>;
 
 /** Where a peer listens. */
-export type PeerPlace = peers.PeerPlace;
+export type PeerAddress = peers.PeerPlace;
 
 /** The links to other daemons, found by their names. */
 export class PeerMesh {
@@ -18,29 +18,29 @@
   public constructor(
     keyring: peers.Keyring,
     deadlineMs: number,
-    private readonly findPlace: (daemonId: string) => PeerPlace | undefined,
+    private readonly findAddress: (daemonId: string) => PeerAddress | undefined,
   ) {
     const isCutOff = (daemonId: string) => this.isCutOff(daemonId);
     this.links = new peers.PeerMesh({ keyring, deadlineMs, isCutOff });
   }
 
   /** Cuts links, for failure tests. */
-  public setCut(isCutOff: (daemonId: string) => boolean): void {
+  public setPartition(isCutOff: (daemonId: string) => boolean): void {
     this.isCutOff = isCutOff;
   }
 
   /** The client of a peer that this daemon knows. */
   public get(daemonId: string): PeerApi {
-    const place = this.findPlace(daemonId);
-    if (place === undefined) {
+    const address = this.findAddress(daemonId);
+    if (address === undefined) {
       throw new schemas.StepError({ id: 'linkClosed', step: 'find-peer', peer: daemonId });
     }
-    return this.getAt(daemonId, place);
+    return this.getAt(daemonId, address);
   }
 
   /** The client of a peer at a known place. */
-  public getAt(daemonId: string, place: PeerPlace): PeerApi {
-    return this.links.getAt(daemonId, place);
+  public getAt(daemonId: string, address: PeerAddress): PeerApi {
+    return this.links.getAt(daemonId, address);
   }
 
   /** One heartbeat to a peer. */
--- a/packages/daemon/src/peer-router.ts
+++ b/packages/daemon/src/peer-router.ts
@@ -5,13 +5,13 @@
 import * as trpc from '@trpc/server';
 import * as z from 'zod';
 
-import type * as adoptions from './adoption-table.js';
+import type * as adoptionRegistries from './adoption-registry.js';
 
 /** A request for room, which may be asked again while it waits. */
-export const grantAsk = z.object({ model: z.string(), req: routing.grantRequest });
+export const grantInput = z.object({ model: z.string(), req: routing.grantRequest });
 
 /** The answer to a request for room; `pending` while it waits. */
-export const grantAnswer = z.object({
+export const grantResult = z.object({
   isPending: z.boolean(),
   upstreamId: z.string().optional(),
   /** The version of the model that the upstream serves. */
@@ -23,7 +23,7 @@
 });
 
 /** The answer to a request for room. */
-export type GrantAnswer = z.infer<typeof grantAnswer>;
+export type GrantResult = z.infer<typeof grantResult>;
 
 /** What a daemon tells a pool's owner of its generations. */
 export const poolReport = z.object({
@@ -52,7 +52,7 @@
 export type VoterChange = z.infer<typeof voterChange>;
 
 /** What became of a command; faults mean that it was not even proposed. */
-export interface ProposeAnswer {
+export interface ProposeResult {
   readonly faults: readonly string[];
   readonly effects: readonly string[];
   readonly result?: schemas.CommandResult;
@@ -65,18 +65,18 @@
   append(req: consensus.AppendReq): Promise<consensus.AppendRes>;
   snapshot(req: consensus.SnapshotReq): Promise<consensus.AppendRes>;
   sync(req: schemas.SyncReq): Promise<schemas.SyncRes>;
-  propose(command: schemas.Command): Promise<ProposeAnswer>;
+  propose(command: schemas.Command): Promise<ProposeResult>;
   status(): Promise<schemas.StatusReport>;
   changeVoters(change: VoterChange): Promise<void>;
   refoundClaims(): Promise<void>;
-  grant(ask: z.infer<typeof grantAsk>): Promise<GrantAnswer>;
+  grant(ask: z.infer<typeof grantInput>): Promise<GrantResult>;
   pool(report: PoolReport): Promise<void>;
   claim(req: requests.ClaimReq): Promise<requests.ClaimRes>;
   recover(req: requests.RecoverReq): Promise<requests.RecoverRes>;
   /** Whether this daemon holds what its seat in the claim group has promised. */
   holdsClaims(): Promise<boolean>;
   outcome(req: { call: string; waitMs: number }): Promise<requests.CallState>;
-  adopt(req: { generation: string }): Promise<adoptions.AdoptAnswer>;
+  adopt(req: { generation: string }): Promise<adoptionRegistries.AdoptResult>;
 }
 
 const t = trpc.initTRPC.create();
@@ -97,7 +97,7 @@
       .input(voterChange)
       .mutation(({ input }) => handlers.changeVoters(input)),
     refoundClaims: t.procedure.mutation(() => handlers.refoundClaims()),
-    grant: t.procedure.input(grantAsk).mutation(({ input }) => handlers.grant(input)),
+    grant: t.procedure.input(grantInput).mutation(({ input }) => handlers.grant(input)),
     pool: t.procedure.input(poolReport).mutation(({ input }) => handlers.pool(input)),
     claim: t.procedure.input(requests.claimReq).mutation(({ input }) => handlers.claim(input)),
     recover: t.procedure
--- a/packages/daemon/src/grant-client.ts
+++ b/packages/daemon/src/pool-client.ts
@@ -4,25 +4,25 @@
 
 import type * as peerMeshes from './peer-mesh.js';
 import type * as peerRouters from './peer-router.js';
-import type * as poolHosts from './pool-host.js';
+import type * as poolManagers from './pool-manager.js';
 
 /** How often owners are told of progress, in milliseconds. */
-const PROGRESS_MS = 2_000;
+const PROGRESS_INTERVAL_MS = 2_000;
 
 /** How long an ask may be under way: the owner's slice and a margin, in milliseconds. */
-const ASK_MS = 2_000;
+const GRANT_DEADLINE_MS = 2_000;
 
 /** How often the owner is tried before this daemon decides alone. */
-const MAX_FAILURES = 3;
+const MAX_OWNER_FAILURES = 3;
 
 /** The pause between two tries, in milliseconds. */
-const PAUSE_MS = 100;
+const RETRY_PAUSE_MS = 100;
 
 /** The most generations that a daemon alone sends to one upstream. */
-const LONE_SHARE = 4;
+const MAX_FALLBACK_GENERATIONS = 4;
 
 /** Room that was given, and the way to give it back. */
-export interface Grant {
+export interface CapacityGrant {
   readonly upstream: schemas.Upstream;
   readonly version: string;
   readonly reason: string;
@@ -30,20 +30,20 @@
   readonly pressure: number;
 }
 
-interface Live {
+interface ActiveGeneration {
   readonly model: string;
-  readonly facts: routing.RunningGeneration;
+  readonly registration: routing.RunningGeneration;
   tokens: number;
   owner: string | undefined;
 }
 
 /** What the client needs. */
-export interface GrantClientOptions {
+export interface PoolClientOptions {
   readonly cfg: schemas.DaemonConfig;
   readonly view: members.ZoneView;
   readonly store: members.ConfigurationStore;
   readonly mesh: peerMeshes.PeerMesh;
-  readonly host: poolHosts.PoolHost;
+  readonly poolManager: poolManagers.PoolManager;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly random: () => number;
@@ -52,23 +52,23 @@
 }
 
 /** Asks the pools' owners for room, tells them how this daemon's generations go on, decides alone if it must. */
-export class GrantClient {
-  private readonly live = new Map<string, Live>();
+export class PoolClient {
+  private readonly active = new Map<string, ActiveGeneration>();
   private readonly finished = new Map<string, number[]>();
   private readonly leaving = new Map<string, Set<string>>();
-  private readonly news = new schemas.ChangeSignal();
+  private readonly updates = new schemas.ChangeSignal();
   private isStopped = false;
 
-  public constructor(private readonly options: GrantClientOptions) {}
+  public constructor(private readonly options: PoolClientOptions) {}
 
   /** Tells owners of ends at once and of all progress now and then, until stopped. */
   public async run(): Promise<void> {
     const { clock } = this.options;
-    let wholeAt = clock.now();
+    let nextFullReportAt = clock.now();
     while (!this.isStopped) {
-      await this.news.wait(clock, Math.max(0, wholeAt - clock.now()));
-      const isWhole = clock.now() >= wholeAt;
-      wholeAt = isWhole ? clock.now() + PROGRESS_MS : wholeAt;
+      await this.updates.wait(clock, Math.max(0, nextFullReportAt - clock.now()));
+      const isWhole = clock.now() >= nextFullReportAt;
+      nextFullReportAt = isWhole ? clock.now() + PROGRESS_INTERVAL_MS : nextFullReportAt;
       await this.flush(isWhole);
     }
   }
@@ -76,70 +76,70 @@
   /** Ends the task. */
   public stop(): void {
     this.isStopped = true;
-    this.news.notify();
+    this.updates.notify();
   }
 
   /** Asks for room until it is given or refused, following the owner when it moves. */
-  public async ask(
+  public async requestCapacity(
     model: string,
     req: routing.GrantRequest,
-    isGone: () => boolean,
-  ): Promise<Grant> {
+    isCallerGone: () => boolean,
+  ): Promise<CapacityGrant> {
     const { clock, cfg } = this.options;
-    const askedAt = clock.now();
+    const startedAt = clock.now();
     let failures = 0;
-    while (!isGone()) {
-      const waitedMs = clock.now() - askedAt;
+    while (!isCallerGone()) {
+      const waitedMs = clock.now() - startedAt;
       const patienceMs = cfg.limits.queueMs - waitedMs;
-      const answer = await this.askOwner(model, { ...req, waitedMs, patienceMs });
-      if (answer === undefined) {
+      const result = await this.requestFromOwner(model, { ...req, waitedMs, patienceMs });
+      if (result === undefined) {
         failures += 1;
-        if (failures >= MAX_FAILURES) {
-          return this.decideAlone(model, req);
+        if (failures >= MAX_OWNER_FAILURES) {
+          return this.chooseWithoutOwner(model, req);
         }
-        await clock.sleep(PAUSE_MS);
-      } else if (!answer.isPending && answer.reason !== 'no-upstream') {
-        return this.accept(model, req, answer);
+        await clock.sleep(RETRY_PAUSE_MS);
+      } else if (!result.isPending && result.reason !== 'no-upstream') {
+        return this.accept(model, req, result);
       } else if (patienceMs <= 0) {
-        return this.accept(model, req, { ...answer, reason: 'patience' });
-      } else if (!answer.isPending) {
-        await clock.sleep(PAUSE_MS);
+        return this.accept(model, req, { ...result, reason: 'patience' });
+      } else if (!result.isPending) {
+        await clock.sleep(RETRY_PAUSE_MS);
       }
     }
-    throw createNoRoom(req.team, 1);
+    throw createNoCapacity(req.team, 1);
   }
 
   /** Notes how far a generation came. */
-  public progress(generation: string, tokens: number): void {
-    const live = this.live.get(generation);
-    if (live !== undefined) {
-      live.tokens = tokens;
+  public recordProgress(generation: string, tokens: number): void {
+    const active = this.active.get(generation);
+    if (active !== undefined) {
+      active.tokens = tokens;
     }
   }
 
   /** Gives room back. */
-  public finish(generation: string, isNatural: boolean): void {
-    const live = this.live.get(generation);
-    if (live === undefined) {
+  public release(generation: string, isNatural: boolean): void {
+    const active = this.active.get(generation);
+    if (active === undefined) {
       return;
     }
-    this.live.delete(generation);
-    const list = this.finished.get(live.model) ?? [];
-    list.push(getNumber(generation), live.tokens, isNatural ? 1 : 0);
-    this.finished.set(live.model, list);
-    this.news.notify();
+    this.active.delete(generation);
+    const list = this.finished.get(active.model) ?? [];
+    list.push(getCallNumber(generation), active.tokens, isNatural ? 1 : 0);
+    this.finished.set(active.model, list);
+    this.updates.notify();
   }
 
   /** Tells the owner of the first sign that an upstream is leaving or dead. */
-  public noteLeaving(model: string, upstreamId: string): void {
+  public reportLeaving(model: string, upstreamId: string): void {
     const set = this.leaving.get(model) ?? new Set<string>();
     this.leaving.set(model, set.add(upstreamId));
-    this.news.notify();
+    this.updates.notify();
   }
 
   /** How many generations this daemon relays now. */
-  public getLiveCount(): number {
-    return this.live.size;
+  public countActiveGenerations(): number {
+    return this.active.size;
   }
 
   /** An upstream of this zone by name. */
@@ -148,21 +148,21 @@
     return upstreams.find((item) => item.upstreamId === upstreamId);
   }
 
-  private async askOwner(
+  private async requestFromOwner(
     model: string,
     req: routing.GrantRequest,
-  ): Promise<peerRouters.GrantAnswer | undefined> {
-    const { cfg, host, log, mesh, view } = this.options;
+  ): Promise<peerRouters.GrantResult | undefined> {
+    const { cfg, poolManager, log, mesh, view } = this.options;
     const owner = view.findOwner(model);
     if (owner === undefined) {
       return undefined;
     }
     try {
       return owner.daemonId === cfg.daemonId
-        ? await host.grant(model, req)
+        ? await poolManager.grant(model, req)
         : await mesh
             .getAt(owner.daemonId, owner)
-            .grant.mutate({ model, req }, { context: { deadlineMs: ASK_MS } });
+            .grant.mutate({ model, req }, { context: { deadlineMs: GRANT_DEADLINE_MS } });
     } catch (err) {
       const { message } = schemas.toError(err);
       log.warn({ step: 'ask-owner', peer: owner.daemonId, err: message });
@@ -170,26 +170,30 @@
     }
   }
 
-  private accept(model: string, req: routing.GrantRequest, answer: peerRouters.GrantAnswer): Grant {
-    if (answer.upstreamId === undefined) {
-      throw createRefusal(req, answer);
+  private accept(
+    model: string,
+    req: routing.GrantRequest,
+    result: peerRouters.GrantResult,
+  ): CapacityGrant {
+    if (result.upstreamId === undefined) {
+      throw createRefusal(req, result);
     }
-    const upstream = this.findUpstream(answer.upstreamId);
+    const upstream = this.findUpstream(result.upstreamId);
     const owner = this.options.view.findOwner(model)?.daemonId;
-    this.track(model, req, answer.upstreamId, owner);
+    this.track(model, req, result.upstreamId, owner);
     if (upstream === undefined) {
-      this.finish(req.generation, false);
-      throw createNoRoom(req.team, 1);
+      this.release(req.generation, false);
+      throw createNoCapacity(req.team, 1);
     }
-    const { reason, queuedMs, pressure } = answer;
-    return { upstream, version: answer.version ?? '', reason, queuedMs, pressure };
+    const { reason, queuedMs, pressure } = result;
+    return { upstream, version: result.version ?? '', reason, queuedMs, pressure };
   }
 
   /**
    * When no owner answers, the daemon goes on with a conservative share of its own: it cannot know what
    * others do, so it takes the better of two at random and never more than a few on one upstream.
    */
-  private decideAlone(model: string, req: routing.GrantRequest): Grant {
+  private chooseWithoutOwner(model: string, req: routing.GrantRequest): CapacityGrant {
     const { store, view, random } = this.options;
     const intent = store.get().declaration.intents.find((item) => item.name === req.intent);
     const candidates = view
@@ -198,13 +202,13 @@
       .filter((item) => !req.excluded.includes(item.upstreamId))
       .map((item) => ({
         upstreamId: item.upstreamId,
-        outstanding: this.countOn(item.upstreamId),
-        reportedShare: this.countOn(item.upstreamId) / LONE_SHARE,
+        outstanding: this.countActiveOn(item.upstreamId),
+        reportedShare: this.countActiveOn(item.upstreamId) / MAX_FALLBACK_GENERATIONS,
       }));
     const chosen = routing.chooseFallbackUpstream(candidates, random);
     const upstream = chosen === undefined ? undefined : this.findUpstream(chosen.upstreamId);
     if (upstream === undefined) {
-      throw createNoRoom(req.team, 2);
+      throw createNoCapacity(req.team, 2);
     }
     this.track(model, req, upstream.upstreamId, undefined);
     return {
@@ -222,17 +226,18 @@
     upstreamId: string,
     owner: string | undefined,
   ): void {
-    const facts: routing.RunningGeneration = { ...req, upstreamId, tokens: 0 };
-    this.live.set(req.generation, { model, facts, tokens: 0, owner });
+    const registration: routing.RunningGeneration = { ...req, upstreamId, tokens: 0 };
+    this.active.set(req.generation, { model, registration, tokens: 0, owner });
   }
 
-  private countOn(upstreamId: string): number {
-    return [...this.live.values()].filter((item) => item.facts.upstreamId === upstreamId).length;
+  private countActiveOn(upstreamId: string): number {
+    return [...this.active.values()].filter((item) => item.registration.upstreamId === upstreamId)
+      .length;
   }
 
   private async flush(isWhole: boolean): Promise<void> {
     const models = new Set([
-      ...(isWhole ? [...this.live.values()].map((item) => item.model) : []),
+      ...(isWhole ? [...this.active.values()].map((item) => item.model) : []),
       ...this.finished.keys(),
       ...this.leaving.keys(),
     ]);
@@ -240,15 +245,15 @@
   }
 
   private async flushModel(model: string, isWhole: boolean): Promise<void> {
-    const { cfg, host, log, mesh, view } = this.options;
+    const { cfg, poolManager, log, mesh, view } = this.options;
     const owner = view.findOwner(model);
     if (owner === undefined) {
       return;
     }
-    const mine = [...this.live.values()].filter((item) => item.model === model);
+    const own = [...this.active.values()].filter((item) => item.model === model);
     // The account of room dies with its owner. Each daemon tells the next one what it relays, so the new
     // account is whole after one round and no upstream is filled twice.
-    const unknown = mine.filter((item) => item.owner !== owner.daemonId);
+    const unregistered = own.filter((item) => item.owner !== owner.daemonId);
     const finished = this.finished.get(model) ?? [];
     const leaving = [...(this.leaving.get(model) ?? [])];
     this.finished.delete(model);
@@ -259,19 +264,19 @@
       prefix: this.options.callPrefix,
       isWhole,
       tokens: isWhole
-        ? mine.flatMap((item) => [getNumber(item.facts.generation), item.tokens])
+        ? own.flatMap((item) => [getCallNumber(item.registration.generation), item.tokens])
         : [],
       finished,
-      registered: unknown.map((item) => ({ ...item.facts, tokens: item.tokens })),
+      registered: unregistered.map((item) => ({ ...item.registration, tokens: item.tokens })),
       leaving,
     };
     try {
       if (owner.daemonId === cfg.daemonId) {
-        host.takeReport(report);
+        poolManager.applyReport(report);
       } else {
         await mesh.getAt(owner.daemonId, owner).pool.mutate(report);
       }
-      mine.forEach((item) => {
+      own.forEach((item) => {
         item.owner = owner.daemonId;
       });
     } catch (err) {
@@ -283,11 +288,11 @@
 
 function createRefusal(
   req: routing.GrantRequest,
-  answer: peerRouters.GrantAnswer,
+  result: peerRouters.GrantResult,
 ): schemas.Refusal {
-  const { retryAfterS } = answer;
+  const { retryAfterS } = result;
   const common = { step: 'grant', outcome: 'not-run' as const, retryAfterS };
-  if (answer.reason === 'queue-full') {
+  if (result.reason === 'queue-full') {
     return new schemas.Refusal({
       ...common,
       id: 'queueFull',
@@ -295,13 +300,13 @@
       args: [req.team, 'many'],
     });
   }
-  if (answer.reason === 'too-many') {
+  if (result.reason === 'too-many') {
     return new schemas.Refusal({ ...common, id: 'tooMany', status: 429, args: [req.team] });
   }
   return new schemas.Refusal({ ...common, id: 'noRoom', status: 503 });
 }
 
-function createNoRoom(team: string, retryAfterS: number): schemas.Refusal {
+function createNoCapacity(team: string, retryAfterS: number): schemas.Refusal {
   return new schemas.Refusal({
     id: 'noRoom',
     step: 'grant',
@@ -313,6 +318,6 @@
 }
 
 /** The number of a call, the last part of its name. */
-function getNumber(call: string): number {
+function getCallNumber(call: string): number {
   return Number.parseInt(call.slice(call.lastIndexOf('.') + 1), 36);
 }
--- a/packages/daemon/src/pool-host.ts
+++ b/packages/daemon/src/pool-manager.ts
@@ -6,44 +6,44 @@
 import type * as peerRouters from './peer-router.js';
 
 /** How often waiting requests and silent daemons are looked at, in milliseconds. */
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 
 /** How long one ask may wait before it is answered `pending`, in milliseconds. */
-const SLICE_MS = 1_000;
+const MAX_GRANT_WAIT_MS = 1_000;
 
 /** After how long without being asked again a waiting request is withdrawn, in milliseconds. */
-const ABANDONED_MS = 4_000;
+const ABANDON_AFTER_MS = 4_000;
 
 /** Every how many rounds an upstream that does not serve the pool's model is asked again. */
-const DISCOVERY_ROUNDS = 4;
+const DISCOVERY_INTERVAL_ROUNDS = 4;
 
 /** Lost reports in a row after which an upstream gets nothing new. */
-const MAX_LOST_REPORTS = 4;
+const MAX_FAILED_REPORTS = 4;
 
 /** How long an upstream that refused gets nothing new, in milliseconds. */
-const SHUN_MS = 5_000;
+const REFUSAL_BACKOFF_MS = 5_000;
 
-interface Ticket {
+interface PendingGrant {
   decision: routing.GrantDecision | undefined;
-  askedAt: number;
+  lastRequestedAt: number;
   readonly changed: schemas.ChangeSignal;
 }
 
 interface Pool {
   readonly owner: routing.PoolOwner;
-  readonly tickets: Map<string, Ticket>;
-  readonly serving: Map<string, readonly string[]>;
-  readonly lost: Map<string, number>;
+  readonly pendingGrants: Map<string, PendingGrant>;
+  readonly servedVersions: Map<string, readonly string[]>;
+  readonly failedReports: Map<string, number>;
   /** The number of the next cache event of each upstream. */
-  readonly cacheNext: Map<string, number>;
+  readonly nextCacheEvent: Map<string, number>;
   /** When each upstream last refused work or said that it leaves. */
   readonly refusedAt: Map<string, number>;
-  firstRound: Promise<void>;
-  rounds: number;
+  firstPoll: Promise<void>;
+  polls: number;
 }
 
 /** What a pool host needs. */
-export interface PoolHostOptions {
+export interface PoolManagerOptions {
   readonly cfg: schemas.DaemonConfig;
   readonly view: members.ZoneView;
   readonly store: members.ConfigurationStore;
@@ -53,23 +53,23 @@
 }
 
 /** The pools that this daemon owns: their queues, their accounts, the watch on their upstreams' load. */
-export class PoolHost {
+export class PoolManager {
   private readonly pools = new Map<string, Pool>();
   private isStopped = false;
 
-  public constructor(private readonly options: PoolHostOptions) {}
+  public constructor(private readonly options: PoolManagerOptions) {}
 
   /** Runs until stopped. */
   public async run(): Promise<void> {
     const { cfg, clock } = this.options;
-    const roundEvery = Math.max(1, Math.round(cfg.timings.reportMs / TICK_MS));
+    const ticksPerReport = Math.max(1, Math.round(cfg.timings.reportMs / TICK_INTERVAL_MS));
     for (let i = 0; !this.isStopped; i += 1) {
-      await clock.sleep(TICK_MS);
+      await clock.sleep(TICK_INTERVAL_MS);
       this.pools.forEach((pool, model) => {
         this.withdrawAbandoned(pool);
         pool.owner.tick();
-        if (i % roundEvery === 0) {
-          void this.watch(model, pool);
+        if (i % ticksPerReport === 0) {
+          void this.pollLoads(model, pool);
         }
       });
     }
@@ -82,35 +82,35 @@
   }
 
   /** One ask for room; the same generation may ask again while it waits. */
-  public async grant(model: string, req: routing.GrantRequest): Promise<peerRouters.GrantAnswer> {
+  public async grant(model: string, req: routing.GrantRequest): Promise<peerRouters.GrantResult> {
     const pool = this.getPool(model);
-    await pool.firstRound;
+    await pool.firstPoll;
     const { clock } = this.options;
-    const known = pool.tickets.get(req.generation);
-    const ticket = known ?? {
+    const existing = pool.pendingGrants.get(req.generation);
+    const pending = existing ?? {
       decision: undefined,
-      askedAt: 0,
+      lastRequestedAt: 0,
       changed: new schemas.ChangeSignal(),
     };
-    ticket.askedAt = clock.now();
-    if (known === undefined) {
-      pool.tickets.set(req.generation, ticket);
+    pending.lastRequestedAt = clock.now();
+    if (existing === undefined) {
+      pool.pendingGrants.set(req.generation, pending);
       pool.owner.request(req, (decision) => {
-        ticket.decision = decision;
-        ticket.changed.notify();
+        pending.decision = decision;
+        pending.changed.notify();
       });
     }
-    if (ticket.decision === undefined) {
-      await ticket.changed.wait(clock, SLICE_MS);
+    if (pending.decision === undefined) {
+      await pending.changed.wait(clock, MAX_GRANT_WAIT_MS);
     }
-    if (ticket.decision !== undefined) {
-      pool.tickets.delete(req.generation);
+    if (pending.decision !== undefined) {
+      pool.pendingGrants.delete(req.generation);
     }
-    return this.createAnswer(model, pool, ticket.decision);
+    return this.createResult(model, pool, pending.decision);
   }
 
   /** What a daemon tells of its generations. */
-  public takeReport(report: peerRouters.PoolReport): void {
+  public applyReport(report: peerRouters.PoolReport): void {
     const { daemonId, finished, model, prefix, tokens } = report;
     const { owner, refusedAt } = this.getPool(model);
     report.registered.forEach((item) => owner.register(item));
@@ -118,35 +118,34 @@
       refusedAt.set(id, this.options.clock.now());
       owner.markLeaving(id);
     });
-    for (const [number = 0, count = 0, isNatural = 0] of takeGroups(finished, 3)) {
+    for (const [number = 0, count = 0, isNatural = 0] of splitGroups(finished, 3)) {
       owner.finish(`${prefix}${number.toString(36)}`, count, isNatural === 1);
     }
     if (report.isWhole) {
-      const told = [...takeGroups(tokens, 2)].map(([number = 0, count = 0]): [string, number] => [
-        `${prefix}${number.toString(36)}`,
-        count,
-      ]);
-      owner.applyProgress({ daemonId, tokens: told });
+      const progress = [...splitGroups(tokens, 2)].map(
+        ([number = 0, count = 0]): [string, number] => [`${prefix}${number.toString(36)}`, count],
+      );
+      owner.applyProgress({ daemonId, tokens: progress });
     }
   }
 
   private getPool(model: string): Pool {
-    const known = this.pools.get(model);
-    if (known !== undefined) {
-      return known;
+    const existing = this.pools.get(model);
+    if (existing !== undefined) {
+      return existing;
     }
     const pool: Pool = {
       owner: this.createOwner(model),
-      tickets: new Map(),
-      serving: new Map(),
-      lost: new Map(),
-      cacheNext: new Map(),
+      pendingGrants: new Map(),
+      servedVersions: new Map(),
+      failedReports: new Map(),
+      nextCacheEvent: new Map(),
       refusedAt: new Map(),
-      firstRound: Promise.resolve(),
-      rounds: 0,
+      firstPoll: Promise.resolve(),
+      polls: 0,
     };
     this.pools.set(model, pool);
-    pool.firstRound = this.watch(model, pool);
+    pool.firstPoll = this.pollLoads(model, pool);
     return pool;
   }
 
@@ -174,30 +173,30 @@
   }
 
   /** Reads the load of the pool's upstreams, and now and then of those that may come to serve it. */
-  private async watch(model: string, pool: Pool): Promise<void> {
+  private async pollLoads(model: string, pool: Pool): Promise<void> {
     const { view } = this.options;
-    pool.rounds += 1;
+    pool.polls += 1;
     const engines = view.getDirectory().upstreams.filter((item) => item.kind === 'engine');
-    const isDiscovery = pool.rounds % DISCOVERY_ROUNDS === 1;
+    const isDiscovery = pool.polls % DISCOVERY_INTERVAL_ROUNDS === 1;
     const due = engines.filter(
-      (item) => isDiscovery || (pool.serving.get(item.upstreamId)?.length ?? 0) > 0,
+      (item) => isDiscovery || (pool.servedVersions.get(item.upstreamId)?.length ?? 0) > 0,
     );
     await Promise.all(due.map((upstream) => this.readLoad(model, pool, upstream)));
     const versions = this.listIntents(model).map((intent) => intent.version);
-    const usable = chooseServing(engines, pool.serving, versions);
+    const usable = selectServingEngines(engines, pool.servedVersions, versions);
     pool.owner.setUpstreams(
       usable.map(({ upstreamId, state }) => ({
         upstreamId,
-        isLeaving: state === 'leaving' || this.isShunned(pool, upstreamId),
+        isLeaving: state === 'leaving' || this.isBackedOff(pool, upstreamId),
       })),
     );
   }
 
   /** A refusal may be the first sign that an upstream leaves; without a second one it is tried again. */
-  private isShunned(pool: Pool, upstreamId: string): boolean {
+  private isBackedOff(pool: Pool, upstreamId: string): boolean {
     const refusedAt = pool.refusedAt.get(upstreamId) ?? -Infinity;
-    const isRefusing = this.options.clock.now() - refusedAt < SHUN_MS;
-    return isRefusing || (pool.lost.get(upstreamId) ?? 0) >= MAX_LOST_REPORTS;
+    const isRefusing = this.options.clock.now() - refusedAt < REFUSAL_BACKOFF_MS;
+    return isRefusing || (pool.failedReports.get(upstreamId) ?? 0) >= MAX_FAILED_REPORTS;
   }
 
   private async readLoad(model: string, pool: Pool, upstream: schemas.Upstream): Promise<void> {
@@ -206,28 +205,31 @@
     try {
       const report = schemas.parse(
         schemas.loadReport,
-        await engines.getJson(upstream, `/load?cacheSince=${pool.cacheNext.get(upstreamId) ?? 0}`),
+        await engines.getJson(
+          upstream,
+          `/load?cacheSince=${pool.nextCacheEvent.get(upstreamId) ?? 0}`,
+        ),
         'load-report',
       );
-      const held = report.models.filter((item) => item.model === model);
-      pool.serving.set(
+      const versions = report.models.filter((item) => item.model === model);
+      pool.servedVersions.set(
         upstreamId,
-        held.map((item) => item.version),
+        versions.map((item) => item.version),
       );
-      pool.lost.delete(upstreamId);
+      pool.failedReports.delete(upstreamId);
       if (report.state === 'leaving') {
         pool.refusedAt.set(upstreamId, this.options.clock.now());
       }
-      this.takeCacheEvents(pool, upstreamId, report.cache);
+      this.applyCacheEvents(pool, upstreamId, report.cache);
       pool.owner.applyReport(upstreamId, report);
     } catch (err) {
-      pool.lost.set(upstreamId, (pool.lost.get(upstreamId) ?? 0) + 1);
+      pool.failedReports.set(upstreamId, (pool.failedReports.get(upstreamId) ?? 0) + 1);
       const { message } = schemas.toError(err);
       this.options.log.debug({ step: 'load-report', peer: upstreamId, err: message });
     }
   }
 
-  private takeCacheEvents(
+  private applyCacheEvents(
     pool: Pool,
     upstreamId: string,
     cache: schemas.LoadReport['cache'],
@@ -237,10 +239,10 @@
     }
     const { affinity } = pool.owner;
     // After a gap a prefix may have been dropped without a word, so everything known is unknown again.
-    if (cache.first > (pool.cacheNext.get(upstreamId) ?? 0)) {
+    if (cache.first > (pool.nextCacheEvent.get(upstreamId) ?? 0)) {
       affinity.forget(upstreamId);
     }
-    pool.cacheNext.set(upstreamId, cache.first + cache.events.length);
+    pool.nextCacheEvent.set(upstreamId, cache.first + cache.events.length);
     cache.events.forEach(({ isStored, prefix }) => {
       if (isStored) {
         affinity.add(prefix, upstreamId, this.options.clock.now());
@@ -250,28 +252,28 @@
     });
   }
 
-  private createAnswer(
+  private createResult(
     model: string,
     pool: Pool,
     decision: routing.GrantDecision | undefined,
-  ): peerRouters.GrantAnswer {
+  ): peerRouters.GrantResult {
     if (decision === undefined) {
       return { isPending: true, reason: 'queued', queuedMs: 0, pressure: 0, retryAfterS: 0 };
     }
-    const held = pool.serving.get(decision.upstreamId ?? '') ?? [];
-    const wanted = this.listIntents(model).find((intent) => held.includes(intent.version));
-    return { isPending: false, ...decision, version: wanted?.version ?? held[0] };
+    const versions = pool.servedVersions.get(decision.upstreamId ?? '') ?? [];
+    const declared = this.listIntents(model).find((intent) => versions.includes(intent.version));
+    return { isPending: false, ...decision, version: declared?.version ?? versions[0] };
   }
 
   private withdrawAbandoned(pool: Pool): void {
     const now = this.options.clock.now();
-    pool.tickets.forEach((ticket, generation) => {
-      if (now - ticket.askedAt < ABANDONED_MS) {
+    pool.pendingGrants.forEach((pending, generation) => {
+      if (now - pending.lastRequestedAt < ABANDON_AFTER_MS) {
         return;
       }
-      pool.tickets.delete(generation);
+      pool.pendingGrants.delete(generation);
       pool.owner.withdraw(generation);
-      if (ticket.decision?.upstreamId !== undefined) {
+      if (pending.decision?.upstreamId !== undefined) {
         pool.owner.finish(generation, 0, false);
       }
     });
@@ -279,19 +281,19 @@
 }
 
 /** The wanted version where it is loaded; until then whatever version there is, so that one always serves. */
-function chooseServing(
+function selectServingEngines(
   engines: readonly schemas.Upstream[],
-  serving: ReadonlyMap<string, readonly string[]>,
+  servedVersions: ReadonlyMap<string, readonly string[]>,
   versions: readonly string[],
 ): schemas.Upstream[] {
-  const holders = engines.filter((item) => (serving.get(item.upstreamId)?.length ?? 0) > 0);
-  const wanted = holders.filter((item) =>
-    serving.get(item.upstreamId)?.some((version) => versions.includes(version)),
+  const serving = engines.filter((item) => (servedVersions.get(item.upstreamId)?.length ?? 0) > 0);
+  const declared = serving.filter((item) =>
+    servedVersions.get(item.upstreamId)?.some((version) => versions.includes(version)),
   );
-  return wanted.length > 0 ? wanted : holders;
+  return declared.length > 0 ? declared : serving;
 }
 
-function* takeGroups(flat: readonly number[], size: number): Generator<readonly number[]> {
+function* splitGroups(flat: readonly number[], size: number): Generator<readonly number[]> {
   for (let at = 0; at < flat.length; at += size) {
     yield flat.slice(at, at + size);
   }
--- a/packages/daemon/src/resume-flow.ts
+++ b/packages/daemon/src/resume-handler.ts
@@ -3,14 +3,14 @@
 import * as requests from '@bramleyridge/requests';
 import * as schemas from '@bramleyridge/schemas';
 
-import type * as parts from './parts.js';
-import type * as relayFlows from './relay-flow.js';
+import type * as generationRelays from './generation-relay.js';
+import type * as handlerContexts from './handler-context.js';
 
 /** Goes on with a generation for a caller that lost its connection, at whichever daemon it comes to. */
-export class ResumeFlow {
+export class ResumeHandler {
   public constructor(
-    private readonly parts: parts.Parts,
-    private readonly relays: relayFlows.RelayFlow,
+    private readonly context: handlerContexts.HandlerContext,
+    private readonly relay: generationRelays.GenerationRelay,
   ) {}
 
   /** Serves one request. */
@@ -19,24 +19,24 @@
     res: http.ServerResponse,
     generation: string,
   ): Promise<void> {
-    const { access, engines, grants, ids } = this.parts;
+    const { access, engines, poolClient, ids } = this.context;
     const path = `/v1/generations/${generation}/events`;
     const team = access.authenticate(req);
-    access.checkPlace(team, path);
+    access.checkZoneAllowed(team, path);
     const id = ids.decode(generation, team.name);
     if (id === undefined) {
-      throw createUnknown(404);
+      throw createGenerationUnavailable(404);
     }
-    this.checkZone(id.availabilityZone, path);
-    const upstream = grants.findUpstream(id.upstreamId);
+    this.checkGenerationZone(id.availabilityZone, path);
+    const upstream = poolClient.findUpstream(id.upstreamId);
     if (upstream === undefined) {
-      throw createUnknown(410);
+      throw createGenerationUnavailable(410);
     }
-    const from = getOffset(req, generation);
-    const mayCancel = !(await this.takeOver(id.daemonId, generation));
+    const from = getNextOffset(req, generation);
+    const mayCancel = !(await this.adopt(id.daemonId, generation));
     const body = await engines.resume(upstream, generation, from).catch((err: unknown) => {
       const failure = requests.createUpstreamError(err, 'resume', upstream.upstreamId);
-      throw failure.kind === 'gone' ? createUnknown(410) : failure;
+      throw failure.kind === 'gone' ? createGenerationUnavailable(410) : failure;
     });
     const { name } = team;
     const task = {
@@ -49,12 +49,12 @@
       body,
       mayCancel,
     };
-    await this.relays.stream(task, res);
+    await this.relay.stream(task, res);
   }
 
   /** Tells the daemon that relayed it not to cancel it; true when its caller is still connected there. */
-  private async takeOver(daemonId: string, generation: string): Promise<boolean> {
-    const { adoptions, cfg, log, mesh } = this.parts;
+  private async adopt(daemonId: string, generation: string): Promise<boolean> {
+    const { adoptions, cfg, log, mesh } = this.context;
     if (daemonId === cfg.daemonId) {
       return adoptions.adopt(generation).isConnected;
     }
@@ -67,8 +67,8 @@
     }
   }
 
-  private checkZone(zone: string, path: string): void {
-    const { cfg, view } = this.parts;
+  private checkGenerationZone(zone: string, path: string): void {
+    const { cfg, view } = this.context;
     if (zone === cfg.availabilityZone) {
       return;
     }
@@ -83,13 +83,13 @@
   }
 }
 
-function getOffset(req: http.IncomingMessage, generation: string): number {
+function getNextOffset(req: http.IncomingMessage, generation: string): number {
   const last = req.headers['last-event-id']?.toString() ?? '';
   const offset = last.startsWith(`${generation}:`) ? Number(last.slice(generation.length + 1)) : -1;
   return Number.isInteger(offset) ? offset + 1 : 0;
 }
 
-function createUnknown(status: number): schemas.Refusal {
+function createGenerationUnavailable(status: number): schemas.Refusal {
   const outcome = status === 404 ? 'not-run' : 'incomplete';
   return new schemas.Refusal({ id: 'generationOfAnother', step: 'resume', status, outcome });
 }
--- a/packages/daemon/src/service-flow.ts
+++ b/packages/daemon/src/service-call-handler.ts
@@ -3,10 +3,10 @@
 import * as requests from '@bramleyridge/requests';
 import * as schemas from '@bramleyridge/schemas';
 
-import type * as parts from './parts.js';
+import type * as handlerContexts from './handler-context.js';
 
 /** Methods that by their definition may be sent again. */
-const IDEMPOTENT = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']);
+const IDEMPOTENT_METHODS = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']);
 
 interface Job {
   readonly team: schemas.Team;
@@ -19,12 +19,12 @@
 }
 
 /** The flow of a call to a plain service. */
-export class ServiceFlow {
-  private counter = 0;
+export class ServiceCallHandler {
+  private callCounter = 0;
   private readonly outstanding = new Map<string, number>();
-  private readonly leaving = new Map<string, number>();
+  private readonly refusedAt = new Map<string, number>();
 
-  public constructor(private readonly parts: parts.Parts) {}
+  public constructor(private readonly context: handlerContexts.HandlerContext) {}
 
   /** Serves one request. */
   public async handle(
@@ -33,14 +33,14 @@
     name: string,
     path: string,
   ): Promise<void> {
-    const { access, budget, cfg } = this.parts;
+    const { access, budget, cfg } = this.context;
     const team = access.authenticate(req);
-    access.checkPlace(team, `/services/${name}${path}`);
+    access.checkZoneAllowed(team, `/services/${name}${path}`);
     const service = this.findService(name);
     const body = await requests.readBody(req, cfg.limits);
     budget.noteRequest();
     const job = createJob(req, team, service, path, body);
-    const answer = (await this.join(job)) ?? (await this.run(job));
+    const answer = (await this.joinClaimedCall(job)) ?? (await this.run(job));
     res.writeHead(answer.status, {
       ...answer.headers,
       [schemas.OUTCOME_HEADER]: 'complete',
@@ -50,7 +50,7 @@
   }
 
   private async run(job: Job): Promise<requests.KeptAnswer> {
-    const { budget } = this.parts;
+    const { budget } = this.context;
     const { isRepeatable } = job.call;
     return requests.runAttempts(
       { isRepeatable, maxRuns: Infinity, budget },
@@ -68,13 +68,13 @@
     job: Job,
     upstream: schemas.Upstream,
   ): Promise<requests.KeptAnswer | undefined> {
-    const { calls, services } = this.parts;
+    const { calls, services } = this.context;
     const call = this.createCall();
     if (job.key !== undefined && !(await this.claim(job, call, upstream))) {
-      return this.join(job);
+      return this.joinClaimedCall(job);
     }
-    this.note(job, call, upstream, 'chosen');
-    const release = this.enter(upstream.upstreamId);
+    this.recordDecision(job, call, upstream, 'chosen');
+    const release = this.trackCall(upstream.upstreamId);
     try {
       const answer = await services.send(upstream, job.call);
       calls.set(call, { state: 'done', answer });
@@ -87,7 +87,7 @@
   }
 
   private async claim(job: Job, call: string, upstream: schemas.Upstream): Promise<boolean> {
-    const { calls, claims } = this.parts;
+    const { calls, claims } = this.context;
     calls.open(call);
     const key = claims.createKey(job.team.name, job.key ?? '', job.attempt);
     const value = await claims.claim(key, call, upstream.upstreamId, job.requestHash);
@@ -104,19 +104,19 @@
     err: unknown,
   ): requests.UpstreamError {
     const failure = requests.createUpstreamError(err, 'service', upstream.upstreamId);
-    this.note(job, call, upstream, failure.kind);
+    this.recordDecision(job, call, upstream, failure.kind);
     const didNotRun = failure.kind !== 'lost';
-    this.parts.calls.set(call, { state: didNotRun ? 'not-run' : 'lost' });
+    this.context.calls.set(call, { state: didNotRun ? 'not-run' : 'lost' });
     if (didNotRun) {
-      this.leaving.set(upstream.upstreamId, this.parts.clock.now());
+      this.refusedAt.set(upstream.upstreamId, this.context.clock.now());
       job.attempt += 1;
     }
     return failure;
   }
 
   /** The answer of the call that holds this request's key; nothing when the key is free. */
-  private async join(job: Job): Promise<requests.KeptAnswer | undefined> {
-    const { claims } = this.parts;
+  private async joinClaimedCall(job: Job): Promise<requests.KeptAnswer | undefined> {
+    const { claims } = this.context;
     while (job.key !== undefined) {
       const key = claims.createKey(job.team.name, job.key, job.attempt);
       const claimed = await claims.find(key, job.requestHash);
@@ -137,14 +137,14 @@
 
   /** The better of two upstreams at random, by what this daemon has outstanding there. */
   private choose(job: Job): schemas.Upstream {
-    const { cfg, clock, random, view } = this.parts;
+    const { cfg, clock, random, view } = this.context;
     const candidates = view
       .getDirectory()
       .upstreams.filter((item) => item.service === job.service && item.state === 'live')
       .filter((item) => !job.excluded.has(item.upstreamId))
       .filter(
         (item) =>
-          clock.now() - (this.leaving.get(item.upstreamId) ?? -Infinity) >
+          clock.now() - (this.refusedAt.get(item.upstreamId) ?? -Infinity) >
           cfg.limits.upstreamSilenceMs,
       );
     const first = candidates[Math.floor(random() * candidates.length)];
@@ -159,11 +159,11 @@
         retryAfterS: 1,
       });
     }
-    const countOf = (item: schemas.Upstream) => this.outstanding.get(item.upstreamId) ?? 0;
-    return countOf(second) < countOf(first) ? second : first;
+    const getOutstanding = (item: schemas.Upstream) => this.outstanding.get(item.upstreamId) ?? 0;
+    return getOutstanding(second) < getOutstanding(first) ? second : first;
   }
 
-  private enter(upstreamId: string): () => void {
+  private trackCall(upstreamId: string): () => void {
     this.outstanding.set(upstreamId, (this.outstanding.get(upstreamId) ?? 0) + 1);
     return () => {
       this.outstanding.set(upstreamId, (this.outstanding.get(upstreamId) ?? 1) - 1);
@@ -171,7 +171,7 @@
   }
 
   private findService(name: string): schemas.Service {
-    const { cfg, store } = this.parts;
+    const { cfg, store } = this.context;
     const service = store
       .get()
       .declaration.services.filter((item) => item.name === name)
@@ -188,12 +188,12 @@
     return service;
   }
 
-  private note(job: Job, call: string, upstream: schemas.Upstream, reason: string): void {
-    this.parts.decisions.note({
+  private recordDecision(job: Job, call: string, upstream: schemas.Upstream, reason: string): void {
+    this.context.decisions.record({
       decision: 'service',
       request: call,
       team: job.team.name,
-      availabilityZone: this.parts.cfg.availabilityZone,
+      availabilityZone: this.context.cfg.availabilityZone,
       upstream: upstream.upstreamId,
       reason,
       outstanding: this.outstanding.get(upstream.upstreamId) ?? 0,
@@ -202,8 +202,8 @@
   }
 
   private createCall(): string {
-    this.counter += 1;
-    return `${this.parts.callPrefix}s${this.counter.toString(36)}`;
+    this.callCounter += 1;
+    return `${this.context.callPrefix}s${this.callCounter.toString(36)}`;
   }
 }
 
@@ -237,15 +237,16 @@
   method: string,
   path: string,
 ): boolean {
-  const said = req.headers[schemas.REPEATABLE_HEADER];
-  if (said !== undefined) {
-    return said === 'yes';
+  const header = req.headers[schemas.REPEATABLE_HEADER];
+  if (header !== undefined) {
+    return header === 'yes';
   }
-  const [bare] = path.split('?');
+  const [pathname] = path.split('?');
   const isDeclared = service.notRepeatable.some(
-    (rule) => rule.method === method && (bare === rule.path || bare?.startsWith(`${rule.path}/`)),
+    (rule) =>
+      rule.method === method && (pathname === rule.path || pathname?.startsWith(`${rule.path}/`)),
   );
-  return !isDeclared && IDEMPOTENT.has(method);
+  return !isDeclared && IDEMPOTENT_METHODS.has(method);
 }
 
 function createRefusal(
--- a/packages/daemon/src/team-access.ts
+++ b/packages/daemon/src/team-access.ts
@@ -34,7 +34,7 @@
    * Refuses, before the body is read, a team whose data may not be in this availability zone. Reading it
    * and then forwarding it would already have handled it outside its place.
    */
-  public checkPlace(team: schemas.Team, path: string): void {
+  public checkZoneAllowed(team: schemas.Team, path: string): void {
     const zone = this.cfg.availabilityZone;
     if (team.availabilityZones.includes(zone)) {
       return;
--- a/packages/daemon/tests/control.test.ts
+++ b/packages/daemon/tests/control.test.ts
@@ -32,10 +32,15 @@
   isStubborn = false,
 ): Promise<void> {
   for (let i = 0; ; i += 1) {
-    const planned = await deployment.operate('/plans', { requestId: `${requestId}-${i}`, files });
+    const planned = await deployment.callOperatorApi('/plans', {
+      requestId: `${requestId}-${i}`,
+      files,
+    });
     if (planned.status === 200 || !isStubborn) {
       const { planId } = (planned.body as Planned).plan;
-      await deployment.operate(`/plans/${planId}/confirm`, { requestId: `${requestId}-confirm` });
+      await deployment.callOperatorApi(`/plans/${planId}/confirm`, {
+        requestId: `${requestId}-confirm`,
+      });
       return;
     }
     await deployments.pause(100);
@@ -50,14 +55,14 @@
     const files = deployment.createFiles();
 
     await t.test('a plan shows what will change and changes nothing', async (t2) => {
-      const answer = await deployment.operate('/plans', {
+      const answer = await deployment.callOperatorApi('/plans', {
         requestId: 'p1',
         files: withWeight(files, 5),
       });
       const { plan } = answer.body as Planned;
       t2.equal(plan.changes.length, 1);
       t2.equal(getWeight(deployment, 0), 1, 'nothing happened yet');
-      const again = await deployment.operate('/plans', {
+      const again = await deployment.callOperatorApi('/plans', {
         requestId: 'p1',
         files: withWeight(files, 5),
       });
@@ -67,7 +72,7 @@
     await t.test('of two operators with equal numbers exactly one wins', async (t2) => {
       const [one, two] = await Promise.all(
         [2, 3].map(async (weight) => {
-          const answer = await deployment.operate('/plans', {
+          const answer = await deployment.callOperatorApi('/plans', {
             requestId: `race-${weight}`,
             files: withWeight(files, weight),
           });
@@ -76,8 +81,8 @@
       );
       t2.equal(one!.baseRevision, two!.baseRevision);
       const answers = await Promise.all([
-        deployment.operate(`/plans/${one!.planId}/confirm`, { requestId: 'c-one' }, 0),
-        deployment.operate(`/plans/${two!.planId}/confirm`, { requestId: 'c-two' }, 1),
+        deployment.callOperatorApi(`/plans/${one!.planId}/confirm`, { requestId: 'c-one' }, 0),
+        deployment.callOperatorApi(`/plans/${two!.planId}/confirm`, { requestId: 'c-two' }, 1),
       ]);
       t2.same(answers.map((answer) => answer.status).sort(), [200, 409]);
       const loser = answers.find((answer) => answer.status === 409)!;
@@ -88,7 +93,7 @@
       );
       const winner = answers.findIndex((answer) => answer.status === 200);
       const id = winner === 0 ? one!.planId : two!.planId;
-      const resent = await deployment.operate(
+      const resent = await deployment.callOperatorApi(
         `/plans/${id}/confirm`,
         { requestId: winner === 0 ? 'c-one' : 'c-two' },
         2,
@@ -116,7 +121,10 @@
           const changed = files.map((file) =>
             file.kind === 'intent' ? { ...file, ...change } : file,
           );
-          const answer = await deployment.operate('/plans', { requestId: name, files: changed });
+          const answer = await deployment.callOperatorApi('/plans', {
+            requestId: name,
+            files: changed,
+          });
           t2.equal(answer.status, 422, name);
           t2.match(JSON.stringify(answer.body), fault, name);
         }
@@ -126,20 +134,24 @@
     await t.test(
       'a cut-off zone serves on the last revision and takes the newest after',
       async (t2) => {
-        deployment.cutZone('c');
+        deployment.isolateZone('c');
         const before = deployment.running[5]!.daemon.store.get().revision;
         for (const weight of [11, 12, 13]) {
-          const planned = await deployment.operate(
+          const planned = await deployment.callOperatorApi(
             '/plans',
             { requestId: `cut-${weight}`, files: withWeight(files, weight) },
             0,
           );
           const { planId } = (planned.body as Planned).plan;
-          await deployment.operate(`/plans/${planId}/confirm`, { requestId: `cut-c-${weight}` }, 0);
+          await deployment.callOperatorApi(
+            `/plans/${planId}/confirm`,
+            { requestId: `cut-c-${weight}` },
+            0,
+          );
         }
         t2.equal(deployment.running[5]!.daemon.store.get().revision, before);
-        deployment.heal();
-        await deployment.until('the newest in zone c', () => getWeight(deployment, 5) === 13);
+        deployment.healPartitions();
+        await deployment.waitUntil('the newest in zone c', () => getWeight(deployment, 5) === 13);
         t2.equal(getWeight(deployment, 2), 13);
       },
     );
@@ -161,13 +173,13 @@
         for (const [round, victim] of [0, 3, 1, 4, 2].entries()) {
           deployment.kill(victim);
           const at = deployment.running.findIndex((item) => item.isUp);
-          const planned = await deployment.operate(
+          const planned = await deployment.callOperatorApi(
             '/plans',
             { requestId: `kill-${round}`, files: withWeight(files, 20 + round) },
             at,
           );
           const { planId } = (planned.body as Planned).plan;
-          const done = await deployment.operate(
+          const done = await deployment.callOperatorApi(
             `/plans/${planId}/confirm`,
             { requestId: `kill-c-${round}` },
             at,
@@ -178,7 +190,7 @@
             `confirmed without ${deployment.running[victim]!.cfg.daemonId}`,
           );
           await deployment.restart(victim);
-          await deployment.until(
+          await deployment.waitUntil(
             'the restarted daemon to have it',
             () => getWeight(deployment, victim) === 20 + round,
           );
@@ -193,7 +205,7 @@
       const engine = deployment.engines[0]!;
       const all = deployment.platform.get();
       deployment.platform.set(all.filter((item) => item.upstreamId !== 'engine-a-1'));
-      await deployment.until('the list to be read', () =>
+      await deployment.waitUntil('the list to be read', () =>
         [0, 3].every((i) => !hasEngine(deployment, i, 'engine-a-1')),
       );
       const before = engine.orders.length;
@@ -211,13 +223,13 @@
       const last = files.map((file) =>
         file.kind === 'intent' ? { ...file, version: 'v31' } : file,
       );
-      await deployment.until('the engine to be listed', () =>
+      await deployment.waitUntil('the engine to be listed', () =>
         hasEngine(deployment, 0, 'engine-a-1'),
       );
       await confirm(deployment, 'version-last', last, true);
       const ordered = () =>
         engine.orders.slice(before).map(({ order }) => `${order.action} ${order.version}`);
-      await deployment.until('the last version to be ordered', () =>
+      await deployment.waitUntil('the last version to be ordered', () =>
         ordered().includes('load v31'),
       );
       const wrong = ordered().filter((item) => item !== 'load v31' && item !== 'unload v1');
@@ -230,15 +242,15 @@
       );
       const { daemonId } = deployment.running[victim]!.cfg;
       deployment.kill(victim);
-      await deployment.restartWithoutDisk(victim);
+      await deployment.restartWithEmptyDisk(victim);
       const voter = () => deployment.running[victim]!.daemon.control.voter;
-      await deployment.until('the new folder to follow', () => voter() !== undefined);
+      await deployment.waitUntil('the new folder to follow', () => voter() !== undefined);
       t2.notOk(voter()!.hasSlot(), 'it holds no seat');
-      const added = await deployment.operate('/voters', { action: 'add', daemonId });
+      const added = await deployment.callOperatorApi('/voters', { action: 'add', daemonId });
       t2.equal(added.status, 200);
-      await deployment.until('the seat', () => voter()!.hasSlot());
+      await deployment.waitUntil('the seat', () => voter()!.hasSlot());
       await confirm(deployment, 'after-repair', withWeight(files, 77));
-      await deployment.until(
+      await deployment.waitUntil(
         'the change at the repaired voter',
         () => getWeight(deployment, victim) === 77,
       );
--- a/packages/daemon/tests/crashing-generations.test.ts
+++ b/packages/daemon/tests/crashing-generations.test.ts
@@ -9,7 +9,7 @@
 // last try only. Proof: with all engines ended by what they run, four of four ended, and the status was 503.
 
 /** How often the test looks which engine runs the generation, in milliseconds. */
-const LOOK_MS = 5;
+const ENGINE_CHECK_INTERVAL_MS = 5;
 
 void tap.default.test(
   'a generation that ends its engines is not made anew on all of them',
@@ -25,7 +25,7 @@
           ended.add(engine);
           engine.kill();
         });
-    }, LOOK_MS);
+    }, ENGINE_CHECK_INTERVAL_MS);
     t.teardown(() => clearInterval(timer));
     const res = await fetch(`${url}/v1/chat/completions`, {
       method: 'POST',
--- a/packages/daemon/tests/pool-host.test.ts
+++ b/packages/daemon/tests/pool-manager.test.ts
@@ -5,8 +5,8 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as tap from 'tap';
 
-import * as metricSinks from '../src/metrics.js';
-import * as poolHosts from '../src/pool-host.js';
+import * as daemonMetrics from '../src/metrics.js';
+import * as poolManagers from '../src/pool-manager.js';
 
 const settings = {
   daemonId: 'd1',
@@ -80,7 +80,7 @@
     maxConcurrent: 100,
     maxQueued: 100,
   } as schemas.Team);
-  const host = new poolHosts.PoolHost({
+  const host = new poolManagers.PoolManager({
     cfg: schemas.daemonConfig.parse(settings),
     view: { getDirectory: () => ({ upstreams: ['e1', 'e2', 'e3'].map(createUpstream) }) } as never,
     store: { get: () => configuration } as never,
@@ -106,9 +106,9 @@
     receiver.once('message', (message) => resolve(message.toString('utf8')));
   });
   const { port } = receiver.address();
-  const off = new metricSinks.Metrics(schemas.daemonConfig.parse(settings));
+  const off = new daemonMetrics.Metrics(schemas.daemonConfig.parse(settings));
   off.count('requests');
-  const on = new metricSinks.Metrics(
+  const on = new daemonMetrics.Metrics(
     schemas.daemonConfig.parse({ ...settings, statsd: { host: '127.0.0.1', port } }),
   );
   on.count('requests', { outcome: 'complete' });
--- a/packages/daemon/tests/requests.test.ts
+++ b/packages/daemon/tests/requests.test.ts
@@ -62,7 +62,7 @@
     t2.equal(await callers.resume(deployment.getUrl(0), sales, seen), 200);
     t2.ok(callers.isWhole(seen, 150));
     await deployment.restart(3);
-    await deployment.until('the restarted daemon', () =>
+    await deployment.waitUntil('the restarted daemon', () =>
       deployment.running[3]!.daemon.store.isReady(),
     );
   });
@@ -89,7 +89,7 @@
     const gone = await callers.stream(deployment.getUrl(1), sales, 20_000, { stopAfter: 5 });
     const other = callers.stream(deployment.getUrl(1), sales, 300);
     const engine = deployment.engines[1]!;
-    await deployment.until(
+    await deployment.waitUntil(
       'the cancel',
       () => engine.record.get(gone.generation)?.ending === 'cancelled',
     );
--- a/packages/daemon/tests/services.test.ts
+++ b/packages/daemon/tests/services.test.ts
@@ -76,7 +76,7 @@
     deployment.services.forEach((service) => (service.faults.refuse = false));
     t2.equal(refused.outcome, 'not-run');
     t2.equal(countRuns(deployment, 'b6'), 0);
-    await deployment.until('the service to be tried again', async () => {
+    await deployment.waitUntil('the service to be tried again', async () => {
       const later = await confirm(deployment.getUrl(0), 'b6', 'k6');
       return later.outcome === 'complete';
     });
@@ -91,14 +91,14 @@
     t2.equal(resent.outcome, 'unknown');
     t2.equal(countRuns(deployment, 'b7'), 1);
     await deployment.restart(5);
-    await deployment.until('the restart', () => deployment.running[5]!.daemon.store.isReady());
+    await deployment.waitUntil('the restart', () => deployment.running[5]!.daemon.store.isReady());
     const again = await confirm(deployment.getUrl(5), 'b7', 'k7');
     t2.equal(again.outcome, 'unknown', 'also when it came back and has forgotten');
     t2.equal(countRuns(deployment, 'b7'), 1);
   });
 
   await t.test('a cut-off zone serves what it can and refuses the rest as not run', async (t2) => {
-    deployment.cutZone('a');
+    deployment.isolateZone('a');
     const keyed = await confirm(deployment.getUrl(0), 'b8', 'k8');
     t2.equal(keyed.outcome, 'not-run', 'no majority of the claim group is inside');
     t2.equal(countRuns(deployment, 'b8'), 0);
@@ -109,8 +109,8 @@
     t2.equal(res.status, 200, 'a slot query is served');
     const outside = await confirm(deployment.getUrl(1), 'b9', 'k9');
     t2.equal(outside.outcome, 'complete', 'the other zones go on');
-    deployment.heal();
-    await deployment.until('the zone to claim again', async () => {
+    deployment.healPartitions();
+    await deployment.waitUntil('the zone to claim again', async () => {
       const healed = await confirm(deployment.getUrl(0), 'b8', 'k8');
       return healed.outcome === 'complete';
     });
@@ -128,15 +128,15 @@
           await deployment.restart(i);
         }),
       );
-      await deployment.until('everyone', () =>
+      await deployment.waitUntil('everyone', () =>
         deployment.running.every((item) => item.daemon.store.isReady()),
       );
       const refused = await confirm(deployment.getUrl(0), 'b1', 'k1');
       t2.equal(refused.outcome, 'not-run');
       t2.equal(countRuns(deployment, 'b1'), 1);
-      const done = await deployment.operate('/claims/refound', {});
+      const done = await deployment.callOperatorApi('/claims/refound', {});
       t2.equal(done.status, 200);
-      await deployment.until('the new group', async () => {
+      await deployment.waitUntil('the new group', async () => {
         const answer = await confirm(deployment.getUrl(1), 'b20', 'k20');
         return answer.outcome === 'complete';
       });
--- a/packages/daemon/tests/shutdown.test.ts
+++ b/packages/daemon/tests/shutdown.test.ts
@@ -14,9 +14,9 @@
     const before = Array.from({ length: 12 }, () =>
       callers.stream(deployment.getUrl(3), sales, 400),
     );
-    await deployment.until(
+    await deployment.waitUntil(
       'the streams to run',
-      () => deployment.running[3]!.daemon.parts.drain.getActive() >= 12,
+      () => deployment.running[3]!.daemon.context.drain.getActive() >= 12,
     );
     const stopped = deployment.running[3]!.daemon.stop();
     deployment.running[3]!.isUp = false;
@@ -52,9 +52,9 @@
       const index = deployment.running.findIndex((item) => item.cfg.daemonId === owner);
       const other = index === 0 ? 3 : 0;
       const running = callers.stream(deployment.getUrl(other), sales, 400);
-      await deployment.until(
+      await deployment.waitUntil(
         'the stream to run',
-        () => deployment.running[other]!.daemon.parts.grants.getLiveCount() > 0,
+        () => deployment.running[other]!.daemon.context.poolClient.countActiveGenerations() > 0,
       );
       deployment.kill(index);
       const next = await callers.stream(deployment.getUrl(other), sales, 60);
@@ -67,14 +67,14 @@
   await t.test('an upstream that leaves gets no new work, and finishes what it has', async (t2) => {
     const [leaving, staying] = [deployment.engines[0]!, deployment.engines[1]!];
     const busy = Array.from({ length: 6 }, () => callers.stream(deployment.getUrl(0), sales, 500));
-    await deployment.until('work on it', () => !leaving.model.isIdle());
+    await deployment.waitUntil('work on it', () => !leaving.model.isIdle());
     const upstreams = deployment.platform
       .get()
       .map((item) =>
         item.upstreamId === 'engine-a-1' ? { ...item, state: 'leaving' as const } : item,
       );
     deployment.platform.set(upstreams);
-    await deployment.until('the sign to be seen', () =>
+    await deployment.waitUntil('the sign to be seen', () =>
       [0, 3].every((i) =>
         deployment.running[i]!.daemon.view.getDirectory().upstreams.some(
           (item) => item.upstreamId === 'engine-a-1' && item.state === 'leaving',
--- a/packages/daemon/tests/support/caller.ts
+++ b/packages/daemon/tests/support/caller.ts
@@ -1,7 +1,7 @@
 import * as fakes from '@bramleyridge/fakes';
 
 /** What a caller saw of one generation, over all its connections. */
-export interface Seen {
+export interface ReceivedStream {
   readonly status: number;
   readonly generation: string;
   readonly offsets: number[];
@@ -36,14 +36,20 @@
     readonly stopAfter?: number;
     readonly onEvent?: (count: number) => void;
   } = {},
-): Promise<Seen> {
+): Promise<ReceivedStream> {
   const res = await fetch(`${url}/v1/chat/completions`, {
     method: 'POST',
     headers: { authorization: `Bearer ${token}`, ...options.headers },
     body: JSON.stringify(createBody(tokens)),
   });
   const generation = res.headers.get('bramleyridge-generation') ?? '';
-  const seen: Seen = { status: res.status, generation, offsets: [], text: '', outcome: undefined };
+  const seen: ReceivedStream = {
+    status: res.status,
+    generation,
+    offsets: [],
+    text: '',
+    outcome: undefined,
+  };
   if (res.status !== 200) {
     seen.outcome = res.headers.get('bramleyridge-outcome') ?? undefined;
     await res.text();
@@ -54,7 +60,7 @@
 }
 
 /** Goes on with a generation at another daemon, behind what was already seen. */
-export async function resume(url: string, token: string, seen: Seen): Promise<number> {
+export async function resume(url: string, token: string, seen: ReceivedStream): Promise<number> {
   const res = await fetch(`${url}/v1/generations/${seen.generation}/events`, {
     headers: {
       authorization: `Bearer ${token}`,
@@ -70,7 +76,7 @@
 }
 
 /** Whether what was seen is every token once, in order, from the generation that it names. */
-export function isWhole(seen: Seen, tokens: number): boolean {
+export function isWhole(seen: ReceivedStream, tokens: number): boolean {
   const isInOrder = seen.offsets.every((offset, i) => offset === i);
   const isAll = seen.offsets.length === tokens + 1;
   return isInOrder && isAll && seen.text === fakes.getText(seen.generation, tokens);
@@ -78,7 +84,7 @@
 
 async function readEvents(
   res: Response,
-  seen: Seen,
+  seen: ReceivedStream,
   stopAfter = Infinity,
   onEvent: (count: number) => void = () => {},
 ): Promise<void> {
@@ -103,7 +109,7 @@
   }
 }
 
-function take(event: string, seen: Seen): void {
+function take(event: string, seen: ReceivedStream): void {
   const at = event.indexOf('data: ');
   const data = at < 0 ? '[DONE]' : event.slice(at + 'data: '.length);
   if (data === '[DONE]') {
--- a/packages/daemon/tests/support/small-deployment.ts
+++ b/packages/daemon/tests/support/small-deployment.ts
@@ -33,7 +33,7 @@
 const LIST_LAG_MS = 100;
 
 /** How long a test waits for something that must come, in milliseconds. */
-const PATIENCE_MS = 20_000;
+const WAIT_TIMEOUT_MS = 20_000;
 
 interface Teardown {
   teardown(handler: () => unknown): void;
@@ -54,7 +54,7 @@
   public readonly platform = new fakes.FakePlatform(LIST_LAG_MS);
   public upstreams: schemas.Upstream[] = [];
   private folder = '';
-  private held: fakes.HeldPorts | undefined;
+  private heldPorts: fakes.HeldPorts | undefined;
 
   public constructor(
     private readonly zones: readonly string[],
@@ -90,7 +90,7 @@
     }
     await Promise.all(this.running.map((item) => item.daemon.start()));
     await this.apply(this.createFiles());
-    await this.until('claim seats', () =>
+    await this.waitUntil('claim seats', () =>
       this.running.every((item) => item.daemon.store.get().claimSeats.length >= 3),
     );
     // Callers are sent to daemons that say they are ready, and to no others.
@@ -134,25 +134,25 @@
 
   /** Plans and confirms through any daemon that is up; gives the revision. */
   public async apply(files: readonly schemas.DeclarationFile[]): Promise<number> {
-    const planned = await this.operate('/plans', { requestId: crypto.randomUUID(), files });
+    const planned = await this.callOperatorApi('/plans', { requestId: crypto.randomUUID(), files });
     const { plan } = planned.body as { plan: schemas.Plan };
-    const confirmed = await this.operate(`/plans/${plan.planId}/confirm`, {
+    const confirmed = await this.callOperatorApi(`/plans/${plan.planId}/confirm`, {
       requestId: crypto.randomUUID(),
     });
     const { revision } = confirmed.body as { revision: number };
-    await this.until(`revision ${revision}`, () =>
+    await this.waitUntil(`revision ${revision}`, () =>
       this.running.every((item) => !item.isUp || item.daemon.store.get().revision >= revision),
     );
     return revision;
   }
 
   /** One call of the operators' API, tried until it is answered. */
-  public async operate(
+  public async callOperatorApi(
     route: string,
     body?: object,
     at?: number,
   ): Promise<{ status: number; body: unknown }> {
-    const end = Date.now() + PATIENCE_MS;
+    const end = Date.now() + WAIT_TIMEOUT_MS;
     for (;;) {
       const index = at ?? this.running.findIndex((item) => item.isUp);
       const res = await fetch(`${this.getUrl(index)}/operator/v1${route}`, {
@@ -195,16 +195,16 @@
   }
 
   /** Starts a voter again on an empty disk. */
-  public async restartWithoutDisk(index: number): Promise<void> {
+  public async restartWithEmptyDisk(index: number): Promise<void> {
     fs.rmSync(this.running[index]!.cfg.dataFolder!, { recursive: true });
     await this.restart(index);
   }
 
   /** Cuts all links between one zone and the others. */
-  public cutZone(zone: string): void {
+  public isolateZone(zone: string): void {
     this.running.forEach(({ cfg, daemon }) => {
       const isInside = cfg.availabilityZone === zone;
-      daemon.cut(
+      daemon.simulatePartition(
         (id) => this.getZone(id) !== undefined && (this.getZone(id) === zone) !== isInside,
         false,
       );
@@ -212,8 +212,8 @@
   }
 
   /** Mends every link. */
-  public heal(): void {
-    this.running.forEach(({ daemon }) => daemon.cut(() => false, false));
+  public healPartitions(): void {
+    this.running.forEach(({ daemon }) => daemon.simulatePartition(() => false, false));
   }
 
   /** The index of the daemon that leads, or -1. */
@@ -222,8 +222,8 @@
   }
 
   /** Waits for something that must come. */
-  public async until(what: string, isThere: () => boolean | Promise<boolean>): Promise<void> {
-    const end = Date.now() + PATIENCE_MS;
+  public async waitUntil(what: string, isThere: () => boolean | Promise<boolean>): Promise<void> {
+    const end = Date.now() + WAIT_TIMEOUT_MS;
     while (!(await isThere())) {
       if (Date.now() > end) {
         throw new Error(`waited in vain for ${what}`);
@@ -238,7 +238,7 @@
   }
 
   private waitReady(index: number): Promise<void> {
-    return this.until('readiness', async () => {
+    return this.waitUntil('readiness', async () => {
       const { status } = await fetch(`${this.getUrl(index)}/readyz`);
       return status === 200;
     });
@@ -290,8 +290,8 @@
 
   private async createEntries(): Promise<schemas.DaemonEntry[]> {
     const count = this.zones.length * this.daemonsPerZone;
-    this.held = await fakes.HeldPorts.take(2 * count);
-    const ports = this.held.list();
+    this.heldPorts = await fakes.HeldPorts.take(2 * count);
+    const ports = this.heldPorts.list();
     return Array.from({ length: count }, (_, i) => {
       const availabilityZone = this.zones[i % this.zones.length]!;
       return {
@@ -310,7 +310,7 @@
     this.engines.forEach((engine) => engine.kill());
     this.services.forEach((service) => service.kill());
     this.platform.kill();
-    this.held?.release();
+    this.heldPorts?.release();
     await pause(50);
     fs.rmSync(this.folder, { recursive: true, force: true });
   }
--- a/packages/daemon/tests/place.test.ts
+++ b/packages/daemon/tests/team-zones.test.ts
@@ -49,7 +49,7 @@
   await t.test(
     'narrowing a cut-off zone: status says that it is not in force there',
     async (t2) => {
-      deployment.cutZone('b');
+      deployment.isolateZone('b');
       const files = deployment
         .createFiles()
         .map((file) =>
@@ -57,9 +57,9 @@
             ? { ...file, availabilityZones: ['a', 'c'] }
             : file,
         );
-      const planned = await deployment.operate('/plans', { requestId: 'narrow', files }, 0);
+      const planned = await deployment.callOperatorApi('/plans', { requestId: 'narrow', files }, 0);
       const { planId } = (planned.body as { plan: { planId: string } }).plan;
-      const confirmed = await deployment.operate(
+      const confirmed = await deployment.callOperatorApi(
         `/plans/${planId}/confirm`,
         { requestId: 'n2' },
         0,
@@ -68,14 +68,15 @@
       interface Status {
         readonly zones: { readonly availabilityZone: string; readonly isInForce: boolean }[];
       }
-      const read = async () => (await deployment.operate('/status', undefined, 0)).body as Status;
-      await deployment.until('a and c to have it, b not', async () => {
+      const read = async () =>
+        (await deployment.callOperatorApi('/status', undefined, 0)).body as Status;
+      await deployment.waitUntil('a and c to have it, b not', async () => {
         const { zones } = await read();
         const inForce = zones.filter((zone) => zone.isInForce).map((zone) => zone.availabilityZone);
         return inForce.join() === 'a,c';
       });
-      deployment.heal();
-      await deployment.until('b to have it', async () =>
+      deployment.healPartitions();
+      await deployment.waitUntil('b to have it', async () =>
         (await read()).zones.every((z) => z.isInForce),
       );
       const answer = await askWithoutBody(deployment.getUrl(1), sales);
