--- a/packages/daemon/src/adoption-registry.ts
+++ b/packages/daemon/src/adoption-registry.ts
@@ -6,17 +6,17 @@
   readonly abort: AbortController;
 }
 
-/** What a daemon says when another goes on with one of its generations. */
+/** The reply to a daemon that adopts a generation relayed here. */
 export interface AdoptResult {
-  /** Whether the first caller still takes the generation here. */
+  /** Whether the first caller still receives the generation from this daemon. */
   readonly isConnected: boolean;
 }
 
-/** The generations that this daemon relays, and which of them another daemon also goes on with. */
+/** Tracks the generations that this daemon relays, and whether another relay has adopted them. */
 export class AdoptionRegistry {
   private readonly generations = new Map<string, RelayedGeneration>();
 
-  /** Begins to watch a generation. */
+  /** Starts tracking a generation; `isConnected` returns whether its caller is connected. */
   public register(generation: string, isConnected: () => boolean): void {
     this.generations.set(generation, {
       isAdopted: false,
@@ -25,18 +25,24 @@
     });
   }
 
-  /** Another daemon goes on with a generation; this one will not cancel it any more. */
+  /**
+   * Marks a generation as adopted, so that this daemon no longer cancels it when its caller is
+   * gone.
+   */
   public adopt(generation: string): AdoptResult {
     const entry = this.generations.get(generation);
     if (entry === undefined) {
       return { isConnected: false };
     }
     entry.isAdopted = true;
-    entry.abort.abort(new Error('taken over'));
+    entry.abort.abort(new Error('generation adopted'));
     return { isConnected: entry.isConnected() };
   }
 
-  /** Waits until a generation is taken over; false when nobody came within `ms`. */
+  /**
+   * Waits until a generation is adopted; resolves to false when that did not happen within
+   * `timeoutMs`.
+   */
   public async waitForAdoption(
     generation: string,
     clock: schemas.Clock,
@@ -49,7 +55,7 @@
     return entry?.isAdopted ?? false;
   }
 
-  /** Ends the watch. */
+  /** Stops tracking a generation. */
   public remove(generation: string): void {
     this.generations.delete(generation);
   }
--- a/packages/daemon/src/bramleyridged.ts
+++ b/packages/daemon/src/bramleyridged.ts
@@ -7,7 +7,7 @@
 
 import * as daemons from './daemon.js';
 
-/** The exit code for settings that are not valid. */
+/** Exit code for invalid settings. */
 const EXIT_BAD_CONFIG = 2;
 
 function readConfig(path: string): schemas.DaemonConfig {
@@ -27,7 +27,7 @@
     .default(process.argv.slice(2))
     .scriptName('bramleyridged')
     .option('config', { type: 'string', demandOption: true, describe: 'the settings, a JSON file' })
-    .option('check', { type: 'boolean', default: false, describe: 'check the settings and end' })
+    .option('check', { type: 'boolean', default: false, describe: 'check the settings and exit' })
     .strict()
     .parse();
   let cfg: schemas.DaemonConfig;
--- a/packages/daemon/src/caller-api.ts
+++ b/packages/daemon/src/caller-api.ts
@@ -13,7 +13,7 @@
 
 type Handler = (req: requests.ApiRequest, res: http.ServerResponse) => Promise<void>;
 
-/** What callers and the balancer reach over HTTP. */
+/** The HTTP API for callers and for the balancer's health checks. */
 export class CallerApi {
   private readonly completions: completionHandlers.CompletionHandler;
   private readonly resumes: resumeHandlers.ResumeHandler;
@@ -26,7 +26,7 @@
     this.services = new serviceCallHandlers.ServiceCallHandler(context);
   }
 
-  /** Adds the routes. */
+  /** Registers the routes. */
   public addTo(app: polka.Polka): void {
     const { completions, resumes } = this;
     ['/v1/completions', '/v1/chat/completions'].forEach((path) => {
@@ -51,12 +51,12 @@
     app.get('/readyz', (_req, res) => this.showReady(res));
   }
 
-  /** Counts a request while it runs and turns what it throws into one answer. */
+  /** Counts the request as active while it runs, and converts a thrown error into one refusal. */
   private serve(handle: Handler): polka.Middleware {
     return (request, res) => {
       const req = request as unknown as requests.ApiRequest;
       const leave = this.context.drain.enter();
-      // Without this a client that vanishes in the wrong moment would end the process.
+      // An 'error' event without a listener, as after a client reset, would terminate the process.
       res.on('error', () => {});
       if (this.context.drain.isDraining()) {
         res.setHeader('connection', 'close');
@@ -120,7 +120,7 @@
   }
 }
 
-/** Answers a request that no route takes. */
+/** Refuses a request that matches no route. */
 export function refuseRoute(req: http.IncomingMessage, res: http.ServerResponse): void {
   const refusal: schemasTypes.Refusal = new schemas.Refusal({
     id: 'noRoute',
--- a/packages/daemon/src/caller-stream.ts
+++ b/packages/daemon/src/caller-stream.ts
@@ -3,10 +3,10 @@
 import type * as requests from '@bramleyridge/requests';
 import * as schemas from '@bramleyridge/schemas';
 
-/** How often a caller that waits is sent a comment, in milliseconds. */
+/** Interval between the keep-alive comments of an open stream, in milliseconds. */
 const KEEP_ALIVE_INTERVAL_MS = 5_000;
 
-/** What a stream to a caller needs. */
+/** Dependencies and limits of a stream to a caller. */
 export interface CallerStreamOptions {
   readonly generation: string;
   readonly model: string;
@@ -32,18 +32,20 @@
       this.isOpen = false;
       clearInterval(this.keepAliveTimer);
     });
-    // A caller behind a middlebox that forgot the connection is found by what it does not take any more.
+    // A middlebox may drop the state of an idle connection without closing it. The comments make
+    // the socket fail then, so that the lost caller is detected.
     this.keepAliveTimer = setInterval(() => res.write(': alive\n\n'), KEEP_ALIVE_INTERVAL_MS);
   }
 
-  /** Whether the caller is still there. */
+  /** Returns whether the caller is still connected. */
   public isConnected(): boolean {
     return this.isOpen;
   }
 
   /**
-   * Writes events and waits while the caller is slow. What waits is bounded by the socket's own buffer and
-   * one chunk, since nothing is read from the engine meanwhile.
+   * Writes events and waits while the caller reads slowly. The buffered data is bounded by the
+   * socket buffer and one chunk, since nothing is read from the engine during the wait. A caller
+   * that does not read within the grace period is disconnected.
    */
   public async write(bytes: Buffer): Promise<void> {
     if (this.res.write(bytes) || !this.isOpen) {
@@ -52,7 +54,7 @@
     await this.waitForDrain();
   }
 
-  /** Writes the last event and ends. */
+  /** Writes the final event and ends the response. */
   public end(end: requests.RelayEnd): void {
     clearInterval(this.keepAliveTimer);
     if (!this.isOpen) {
--- a/packages/daemon/src/choose-claim-acceptors.ts
+++ b/packages/daemon/src/choose-claim-acceptors.ts
@@ -1,15 +1,16 @@
 import type * as schemas from '@bramleyridge/schemas';
 
-/** How many seats the claim group has, where there are enough daemons. */
+/** Number of claim acceptors when enough daemons are usable. */
 const MAX_ACCEPTORS = 5;
 
-/** The fewest seats that outlive the loss of one. */
+/** Minimum number of claim acceptors: a majority of three remains after the loss of one. */
 const MIN_ACCEPTORS = 3;
 
 /**
- * Who is to hold the seats, as `daemonId@incarnation`; nothing when all is well. Seats are spread over the
- * zones, so that a lost or cut-off zone takes as few as possible. One seat changes at a time: its new
- * holder copies from the others, and they must still be there.
+ * Chooses the daemons that run the claim acceptors, as `daemonId@incarnation`; returns undefined
+ * when no change is needed or possible. Acceptors are spread over the zones, so that a lost or
+ * cut-off zone contains as few of them as possible. Only one acceptor is replaced at a time: the
+ * new one copies its state from the others, which must still be present.
  */
 export function chooseClaimAcceptors(
   acceptors: readonly schemas.ClaimSeat[],
@@ -44,20 +45,24 @@
   );
 }
 
-/** What is known when the seats of the claim group are looked over. */
+/** The input for choosing the next claim acceptors. */
 export interface ClaimAcceptorInput {
   readonly acceptors: readonly schemas.ClaimSeat[];
   readonly live: readonly schemas.Beat[];
-  /** The daemons that may hold seats; all when it is empty. */
+  /** Daemons that may run an acceptor; any daemon when empty. */
   readonly allowed: readonly string[];
-  /** Asks a daemon whether it holds what its seat has promised; fails where it does not answer. */
+  /**
+   * Asks a daemon whether its acceptor has recovered its complete state; rejects when it does not
+   * answer.
+   */
   readonly holdsClaims: (daemonId: string) => Promise<boolean>;
 }
 
 /**
- * Who is to hold the seats next; nothing while a new holder is still copying. The memory of a holder that is silent for a
- * moment is gone with its seat, and it may be just what the other needs to be complete: then neither ever is, and calls
- * with a key are refused until the group is founded anew.
+ * Chooses the next claim acceptors; returns undefined while a new acceptor is still copying its
+ * state. Replacing an acceptor that is only silent for a moment discards its state, which may be
+ * the state that the copying acceptor needs to become complete. Neither would become complete then,
+ * and calls with a key would be refused until an operator founds a new group.
  */
 export async function chooseNextClaimAcceptors(
   facts: ClaimAcceptorInput,
@@ -71,13 +76,13 @@
     live.some((host) => host.daemonId === acceptor.daemonId),
   );
   const answers = await Promise.all(
-    // One that does not answer can't be copying now, and is taken for lost as soon as its heartbeats stay away.
+    // A daemon that does not answer cannot be copying, and counts as lost once its heartbeats stop.
     present.map((acceptor) => holdsClaims(acceptor.daemonId).catch(() => true)),
   );
   return answers.includes(false) ? undefined : chosen;
 }
 
-/** The daemons in an order that takes one of each zone in turn. */
+/** Orders the daemons by taking one daemon of each zone in turn. */
 function interleaveZones(
   live: readonly schemas.Beat[],
   allowed: readonly string[],
--- a/packages/daemon/src/claim-service.ts
+++ b/packages/daemon/src/claim-service.ts
@@ -4,22 +4,22 @@
 
 import type * as peerMeshes from './peer-mesh.js';
 
-/** How long the owner of a claimed call is asked to wait for its end in one go, in milliseconds. */
+/** Time for which one request waits for the end of a claimed call at its owner, in milliseconds. */
 const OUTCOME_WAIT_MS = 2_000;
 
-/** How often a claimed call's owner is asked before it counts as lost. */
+/** Number of failed requests to the owner of a claimed call after which the call counts as lost. */
 const MAX_OUTCOME_FAILURES = 3;
 
-/** How often expired claims are dropped, in milliseconds. */
+/** Longest interval between two removals of expired claims, in milliseconds. */
 const EXPIRY_INTERVAL_MS = 30_000;
 
-/** Who claimed a key, and how the call stands as far as can be known. */
+/** The claim of a key, and the state of the claimed call as far as it can be determined. */
 export interface ClaimedCall {
   readonly value: requests.ClaimValue;
   readonly state: requests.CallState;
 }
 
-/** What the desk needs. */
+/** Dependencies of the claim service. */
 export interface ClaimServiceOptions {
   readonly cfg: schemas.DaemonConfig;
   readonly incarnation: number;
@@ -31,7 +31,9 @@
   readonly random: () => number;
 }
 
-/** Where a daemon claims calls, and asks who holds a claim. */
+/**
+ * Claims calls for this daemon, runs its claim acceptor, and looks up the state of claimed calls.
+ */
 export class ClaimService {
   public readonly acceptor: requests.ClaimAcceptor;
   private readonly proposer: requests.ClaimProposer;
@@ -58,7 +60,7 @@
     });
   }
 
-  /** Follows the seats in force, and drops expired claims, until stopped. */
+  /** Applies changes of the claim acceptors and removes expired claims, until stopped. */
   public async run(): Promise<void> {
     const { clock, store } = this.options;
     while (!this.isStopped) {
@@ -69,18 +71,21 @@
     }
   }
 
-  /** Ends the task. */
+  /** Stops the task. */
   public stop(): void {
     this.isStopped = true;
     this.options.store.changed.notify();
   }
 
-  /** The key of a team's call; only its digest ever leaves this daemon. */
+  /**
+   * Returns the claim key of a team's call; only this digest leaves the daemon, never the caller's
+   * key.
+   */
   public createKey(team: string, key: string, attempt: number): string {
     return schemas.getSha256(`${team}\n${key}\n${attempt}`).slice(0, 40);
   }
 
-  /** Claims a key for a call of this daemon; whoever holds it is given back. */
+  /** Claims a key for a call of this daemon; resolves to the claim that holds the key. */
   public claim(
     key: string,
     call: string,
@@ -100,7 +105,10 @@
     });
   }
 
-  /** Who holds a key and how the call stands; nothing when nobody holds it. */
+  /**
+   * Resolves to the claim that holds a key and the state of its call; undefined when the key is
+   * free.
+   */
   public async find(key: string, requestHash: string): Promise<ClaimedCall | undefined> {
     const value = await this.proposer.find(key);
     if (value === undefined) {
@@ -118,7 +126,7 @@
     return { value, state: await this.fetchCallState(value) };
   }
 
-  /** Asks the daemon that claimed a call how it stands, until it has begun. */
+  /** Requests the state of a claimed call from its owner until the call is no longer `running`. */
   private async fetchCallState(value: requests.ClaimValue): Promise<requests.CallState> {
     const { cfg, calls, clock, incarnation, mesh } = this.options;
     const outcomeReq = { call: value.call, waitMs: OUTCOME_WAIT_MS };
--- a/packages/daemon/src/completion-body.ts
+++ b/packages/daemon/src/completion-body.ts
@@ -1,21 +1,21 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as z from 'zod';
 
-/** Characters that one token stands for, when nothing better is known. */
+/** Estimated characters per token; the tokenizer of the model is not available here. */
 const CHARS_PER_TOKEN = 4;
 
-/** The most output tokens assumed when the caller sets no limit. */
+/** Assumed maximum of output tokens when the caller sets no limit. */
 const DEFAULT_MAX_TOKENS = 32_768;
 
-/** Requests that ask for at most so many tokens count as interactive unless they say otherwise. */
+/** Token limit up to which a request counts as interactive when it names no class. */
 const MAX_INTERACTIVE_TOKENS = 256;
 
-/** How much of a prompt is taken for its prefix, in characters. */
+/** Length of the prompt prefix that is hashed for cache affinity, in characters. */
 const PREFIX_CHARS = 512;
 
 const message = z.looseObject({ role: z.string(), content: z.unknown() });
 
-/** The body of a completion; what is not named here is passed on as it is. */
+/** The schema of a completion request; other fields are passed through unchanged. */
 export const completionBody = z
   .looseObject({
     model: z.string().min(1).max(128),
@@ -27,13 +27,13 @@
   })
   .refine((body) => body.prompt !== undefined || body.messages !== undefined, {
     path: ['messages'],
-    message: 'a prompt or messages are needed',
+    message: 'a prompt or messages are required',
   });
 
-/** The body of a completion. */
+/** The body of a completion request. */
 export type CompletionBody = z.infer<typeof completionBody>;
 
-/** What routing needs to know of a body. */
+/** The properties of a request that routing uses. */
 export interface RequestEstimate {
   readonly promptTokens: number;
   readonly maxTokens: number;
@@ -41,7 +41,7 @@
   readonly workClass: 'interactive' | 'batch';
 }
 
-/** Measures a body; the prompt itself goes no further than this. */
+/** Estimates the size and class of a request; routing receives the result and never the prompt. */
 export function estimateRequest(
   body: CompletionBody,
   wantedClass: string | undefined,
@@ -61,7 +61,9 @@
   };
 }
 
-/** The body as the engine gets it: always streamed, with the version, the priority and the prefix set. */
+/**
+ * Serializes the body for the engine: always streamed, with the version, priority and prefix set.
+ */
 export function createEngineBody(
   body: CompletionBody,
   version: string,
--- a/packages/daemon/src/completion-collector.ts
+++ b/packages/daemon/src/completion-collector.ts
@@ -12,7 +12,9 @@
   readonly choices: readonly ChunkChoice[];
 }
 
-/** Collects a generation's events into the answer of a caller that wants it whole. */
+/**
+ * Collects the events of a generation into one response for a caller that did not ask for a stream.
+ */
 export class CompletionCollector {
   private readonly received: Buffer[] = [];
 
@@ -22,12 +24,12 @@
     private readonly promptTokens: number,
   ) {}
 
-  /** Adds events. */
+  /** Appends received events. */
   public add(bytes: Buffer): void {
     this.received.push(bytes);
   }
 
-  /** The answer as OpenAI clients expect it. */
+  /** Creates the response body in the OpenAI format. */
   public createResponse(end: requests.RelayEnd): object {
     const chunks = this.listChunks();
     const content = chunks.map((chunk) => getContent(chunk.choices[0])).join('');
--- a/packages/daemon/src/completion-dispatcher.ts
+++ b/packages/daemon/src/completion-dispatcher.ts
@@ -10,12 +10,12 @@
 import type * as handlerContexts from './handler-context.js';
 import type * as poolClients from './pool-client.js';
 
-/** What a refused caller is told to wait when upstreams failed, in seconds. */
+/** Retry-After of a refusal after upstream failures, in seconds. */
 const RETRY_AFTER_S = 2;
 
 type Job = completionJobs.CompletionJob;
 
-/** One try of a completion at one engine. */
+/** One attempt to run a completion on one engine. */
 interface Attempt {
   readonly lifecycle: ReturnType<typeof requests.createRequestLifecycle>;
   readonly call: string;
@@ -23,15 +23,18 @@
   readonly generation: string;
 }
 
-/** Finds room for a completion and hands it to an engine, truthfully. */
+/**
+ * Obtains capacity for a completion and starts it on an engine; reports whether it ran only as far
+ * as that is certain.
+ */
 export class CompletionDispatcher {
   private counter = 0;
 
   public constructor(private readonly context: handlerContexts.HandlerContext) {}
 
   /**
-   * Finds room, claims the call where it has a key, and hands it to the engine; tries on while it did not
-   * run. Gives nothing when another call holds the key.
+   * Obtains capacity, claims the call when it has a key, and starts it on an engine. Retries while
+   * it is certain that the call did not run. Resolves to undefined when another call holds the key.
    */
   public async dispatch(
     job: Job,
@@ -63,7 +66,8 @@
       availabilityZone: cfg.availabilityZone,
       daemonId: cfg.daemonId,
       incarnation: incarnation.toString(36),
-      // Not the counter itself: other requests have gone on while this one waited for room.
+      // Taken from the call id: the counter has advanced for other requests during the wait for
+      // capacity.
       counter: call.slice(call.lastIndexOf('.') + 1),
       upstreamId: grant.upstream.upstreamId,
     };
@@ -84,12 +88,16 @@
       upstream: grant.upstream,
       from: 0,
       body,
-      // Who sends a key means to ask again; the answer is kept for that, also when nobody listens now.
+      // A caller that sends a key may resend the request, so its generation is kept for that resend
+      // even when no caller is connected.
       mayCancel: job.key === undefined,
     };
   }
 
-  /** Ends the request, or returns when it is certain that the engine did not run it and another may. */
+  /**
+   * Throws the final refusal, or returns when the engine certainly did not run the call and another
+   * engine may be tried.
+   */
   private settleFailure(
     job: Job,
     { generation, grant, lifecycle }: Attempt,
@@ -119,8 +127,9 @@
   }
 
   /**
-   * The call was handed over and the answer was lost. The engine is asked on a new connection: if it runs
-   * the generation we go on with it; if not, it is made to promise that it never will.
+   * Resolves a start whose response was lost by asking the engine on a new connection. A generation
+   * that the engine runs is resumed; otherwise it is cancelled, after which the engine never runs
+   * it.
    */
   public async resolveLostStart(
     upstream: schemas.Upstream,
@@ -193,7 +202,9 @@
     return value.call === generation;
   }
 
-  /** Starts the generation; when the answer is lost, finds out whether it began. */
+  /**
+   * Starts the generation; when the response is lost, determines whether the generation started.
+   */
   private async start(
     job: Job,
     grant: poolClients.CapacityGrant,
@@ -239,7 +250,7 @@
   }
 }
 
-/** A refusal of the dispatch, which says when to come back where nothing ran. */
+/** Creates a refusal of the dispatch; it has a Retry-After only when nothing ran. */
 export function createRefusal(
   id: schemas.MessageId,
   outcome: schemas.Outcome,
--- a/packages/daemon/src/completion-handler.ts
+++ b/packages/daemon/src/completion-handler.ts
@@ -10,18 +10,22 @@
 import type * as generationRelays from './generation-relay.js';
 import type * as handlerContexts from './handler-context.js';
 
-/** What a caller is told to wait when its generation was lost, in seconds. */
+/** Retry-After of a response whose generation was lost, in seconds. */
 const RETRY_AFTER_S = 2;
 
 type Job = completionJobs.CompletionJob;
 
 /**
- * How many engines may end under one generation. Two in a row have most likely ended for what it asks of them, and each
- * takes with it all else that it runs.
+ * Maximum number of engines that may exit while they run one request. After two exits in a row the
+ * request itself is the most likely cause, and every exit also loses all other generations of that
+ * engine.
  */
 const MAX_ENDED_ENGINES = 2;
 
-/** The flow of a completion: who asks, may it be here, was it asked before, where is room, pass it on. */
+/**
+ * Handles completion requests: authentication, zone check, join of an earlier call with the same
+ * key, dispatch, relay.
+ */
 export class CompletionHandler {
   private readonly dispatcher: completionDispatchers.CompletionDispatcher;
 
@@ -32,7 +36,7 @@
     this.dispatcher = new completionDispatchers.CompletionDispatcher(context);
   }
 
-  /** Serves one request. */
+  /** Handles one request. */
   public async handle(
     req: http.IncomingMessage,
     res: http.ServerResponse,
@@ -54,7 +58,8 @@
   private async run(job: Job, res: http.ServerResponse): Promise<void> {
     for (;;) {
       const task = await this.dispatcher.dispatch(job, res).catch((err: unknown) => {
-        // That there is no engine left says of this try that it did not run; the ones before it did.
+        // The error only proves that this attempt did not run; earlier attempts of the request did
+        // run.
         throw job.endedEngines > 0 ? createGenerationGone(err) : err;
       });
       if (task === undefined) {
@@ -73,7 +78,10 @@
     }
   }
 
-  /** Answers whole; false when the generation is known gone and may be made anew. */
+  /**
+   * Sends the response in one piece; resolves to false when the generation is gone and may be
+   * retried.
+   */
   private async respondWhole(
     job: Job,
     task: generationRelays.RelayTask,
@@ -96,7 +104,8 @@
       requests.sendJson(res, 200, collector.createResponse(end), { ...headers, ...outcome });
       return true;
     }
-    // Nothing was delivered, so a new generation is no splice; but only when the former can't still run.
+    // No output was delivered, so a retry cannot mix the text of two generations. It is only
+    // allowed when the lost generation can no longer be running.
     const isGone = end.err?.kind === 'gone' || end.err?.isConnectionRefused() === true;
     job.endedEngines += isGone ? 1 : 0;
     const mayRetry =
@@ -108,7 +117,10 @@
     throw createGenerationGone(end.err);
   }
 
-  /** Joins the call that holds this request's key; false when the key is free at `job.attempt`. */
+  /**
+   * Joins the call that holds the key of this request; resolves to false when the key is free at
+   * `job.attempt`.
+   */
   private async joinClaimedCall(job: Job, res: http.ServerResponse): Promise<boolean> {
     const { claims } = this.context;
     for (;;) {
@@ -120,7 +132,7 @@
       if (existing.state.state !== 'not-run' && (await this.joinCall(job, existing.value, res))) {
         return true;
       }
-      // That attempt is proved not to have run, so the next one may be claimed.
+      // The claimed attempt certainly did not run, so the key of the next attempt may be claimed.
       job.attempt += 1;
     }
   }
@@ -173,7 +185,10 @@
     return this.respondWhole({ ...job, isRepeatable: false }, task, res);
   }
 
-  /** Tells the daemon that began a call that another caller takes it too. */
+  /**
+   * Notifies the daemon that started a call that another caller receives it too; resolves to
+   * whether the first caller is still connected.
+   */
   private async adopt(value: requests.ClaimValue): Promise<boolean> {
     const { adoptions, cfg, mesh } = this.context;
     if (value.daemonId === cfg.daemonId) {
--- a/packages/daemon/src/completion-job.ts
+++ b/packages/daemon/src/completion-job.ts
@@ -5,10 +5,10 @@
 import * as completionBodies from './completion-body.js';
 import type * as handlerContexts from './handler-context.js';
 
-/** The longest Idempotency-Key that is taken. */
+/** Longest Idempotency-Key in characters; longer keys are truncated. */
 const MAX_KEY_CHARS = 255;
 
-/** A completion on its way. */
+/** The state of one completion request. */
 export interface CompletionJob {
   readonly team: schemas.Team;
   readonly intent: schemas.Intent;
@@ -20,12 +20,12 @@
   readonly requestHash: string;
   readonly isRepeatable: boolean;
   readonly excluded: string[];
-  /** How many engines ended under it. */
+  /** Number of engines that exited while they ran this request. */
   endedEngines: number;
   attempt: number;
 }
 
-/** Makes the job of a request, with the intent that serves it. */
+/** Creates the job of a request, with the intent that serves it. */
 export function createJob(
   { cfg, store }: handlerContexts.HandlerContext,
   req: http.IncomingMessage,
--- a/packages/daemon/src/control-plane.ts
+++ b/packages/daemon/src/control-plane.ts
@@ -8,13 +8,13 @@
 import type * as peerMeshes from './peer-mesh.js';
 import type * as peerRouters from './peer-router.js';
 
-/** How long a command is tried before the operator is told that its fate is not known, in milliseconds. */
+/** Time after which a call to the leader fails with an unknown result, in milliseconds. */
 const LEADER_CALL_TIMEOUT_MS = 8_000;
 
-/** The pause before a command is tried again, in milliseconds. */
+/** Pause between two attempts to reach the leader, in milliseconds. */
 const LEADER_RETRY_PAUSE_MS = 100;
 
-/** What the control plane needs. */
+/** Dependencies of the control plane. */
 export interface ControlPlaneOptions {
   readonly cfg: schemas.DaemonConfig;
   readonly mesh: peerMeshes.PeerMesh;
@@ -25,7 +25,9 @@
   readonly files?: consensus.FileStorage;
 }
 
-/** The part of a daemon that takes part in, or asks, the replicated log. */
+/**
+ * Runs this daemon's voter when it has one, and sends requests to the leader of the replicated log.
+ */
 export class ControlPlane {
   public voter: consensus.Voter | undefined;
   public readonly state = new intents.ControlState();
@@ -35,7 +37,7 @@
 
   public constructor(private readonly options: ControlPlaneOptions) {}
 
-  /** Opens the data folder and, once the first voters are agreed, takes part. */
+  /** Opens the data directory and, once the first voters are agreed, starts the voter. */
   public async start(): Promise<void> {
     const { cfg } = this.options;
     if (!cfg.voter) {
@@ -50,13 +52,13 @@
     });
   }
 
-  /** Ends every task; a leader gives its place up first. */
+  /** Stops every task; a leader gives up its leadership. */
   public stop(): void {
     this.stopping.abort(new Error('stopping'));
     this.voter?.stop();
   }
 
-  /** This data folder's number and the first voters, as far as they are agreed. */
+  /** Returns the id of this data directory and the first voters, which are empty until agreed. */
   public getGenesis(): consensus.Genesis {
     if (this.identity === undefined) {
       throw new schemas.StepError({ id: 'notLeader', step: 'genesis' });
@@ -64,7 +66,7 @@
     return this.identity;
   }
 
-  /** The voter, or an error where this daemon is none. */
+  /** Returns the voter; throws when this daemon has none. */
   public getVoter(): consensus.Voter {
     if (this.voter === undefined) {
       throw new schemas.StepError({ id: 'notLeader', step: 'voter' });
@@ -72,7 +74,7 @@
     return this.voter;
   }
 
-  /** The leadership, or an error where this daemon does not lead. */
+  /** Returns the leadership; throws when this daemon is not the leader. */
   public getLeadership(): consensus.Leadership {
     const leadership = this.voter?.leadership;
     if (leadership === undefined) {
@@ -81,23 +83,23 @@
     return leadership;
   }
 
-  /** The leader that this daemon knows of. */
+  /** Returns the last known leader. */
   public findLeader(): string | undefined {
     return this.voter?.leader ?? this.leaderHint;
   }
 
-  /** Notes who leads, as a peer told. */
+  /** Stores the leader that a peer reported. */
   public setLeaderHint(leader: string | undefined): void {
     this.leaderHint = leader ?? this.leaderHint;
   }
 
-  /** Puts a command into the log, as the leader. */
+  /** Proposes a command to the log; only valid on the leader. */
   public async proposeLocally(command: schemas.Command): Promise<schemas.CommandResult> {
     const { result } = await this.getLeadership().propose(command);
     return result as schemas.CommandResult;
   }
 
-  /** Asks the leader for something, wherever it is, until the time is over. */
+  /** Runs a request at the leader, locally or remotely, and retries until the timeout. */
   public async callLeader<T>(
     runLocally: () => Promise<T>,
     callRemote: (api: peerMeshes.PeerApi) => Promise<T>,
@@ -185,7 +187,10 @@
     };
   }
 
-  /** Only applied entries come here, so only what a majority holds is ever put in force. */
+  /**
+   * Called with applied entries only, so that only configurations stored by a majority come into
+   * force.
+   */
   private updateStore(): void {
     const { store } = this.options;
     const deltas = this.state.findDeltas(store.get().revision);
@@ -194,7 +199,7 @@
     }
   }
 
-  /** Gives a daemon a seat among the voters, or takes it away, as the leader. */
+  /** Adds or removes a voter; only valid on the leader. */
   public async changeVoters(change: peerRouters.VoterChange): Promise<void> {
     const leadership = this.getLeadership();
     if (change.action === 'remove') {
@@ -205,7 +210,7 @@
     await leadership.addVoter({ daemonId: change.daemonId, voterId });
   }
 
-  /** What the leader tells operators of the voters. */
+  /** Returns the replication state of all voters, as seen by the leader. */
   public describeVoters(): schemas.StatusReport['voters'] {
     const leadership = this.getLeadership();
     const own = {
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -23,23 +23,23 @@
 import * as poolManagers from './pool-manager.js';
 import * as teamAccess from './team-access.js';
 
-/** How long the balancer may still send requests after readiness fails, in milliseconds. */
+/** Time for which the balancer may still send requests after readiness fails, in milliseconds. */
 const BALANCER_LAG_MS = 1_000;
 
-/** The largest headers that are taken, in bytes. */
+/** Maximum size of the request headers, in bytes. */
 const MAX_HEADER_BYTES = 16_384;
 
-/** How long a client may take over its headers, in milliseconds. */
+/** Time within which a client must send its headers, in milliseconds. */
 const HEADERS_TIMEOUT_MS = 10_000;
 
-/** What a daemon needs besides its settings. */
+/** Dependencies of a daemon besides its settings. */
 export interface DaemonOptions {
   readonly log: schemas.Log;
   readonly clock?: schemas.Clock;
   readonly random?: () => number;
 }
 
-/** One daemon: every role, switched on by its settings and by what its zone needs of it. */
+/** One daemon. Its settings and the state of its zone determine which roles are active. */
 export class Daemon {
   public readonly incarnation = Date.now();
   public readonly mesh: peerMeshes.PeerMesh;
@@ -115,7 +115,7 @@
     this.server = this.createHttpServer();
   }
 
-  /** Listens, joins its zone and serves; gives the ports. */
+  /** Starts listening, joins the zone and serves requests; resolves to the bound ports. */
   public async start(): Promise<{ callerPort: number; peerPort: number }> {
     const peerPort = await this.peerServer.listen();
     await this.control.start();
@@ -134,20 +134,22 @@
     return { callerPort, peerPort };
   }
 
-  /** A planned stop: everything that runs is finished first, however long it takes. */
+  /** Stops as planned: waits without a time limit until all active requests are finished. */
   public stop(): Promise<void> {
     this.stopping ??= this.stopGracefully();
     return this.stopping;
   }
 
-  /** Ends at once, as a killed process does; for failure tests. */
+  /** Stops immediately, like a killed process; for failure tests. */
   public kill(): void {
     this.shutDown();
     this.server.closeAllConnections();
     this.server.close();
   }
 
-  /** Cuts this daemon off from some of its peers; for failure tests. */
+  /**
+   * Drops the links to some peers, and all inbound links when `isInboundCut`; for failure tests.
+   */
   public simulatePartition(isCutOff: (daemonId: string) => boolean, isInboundCut: boolean): void {
     this.mesh.setPartition(isCutOff);
     this.isCut = isInboundCut;
@@ -157,7 +159,8 @@
     const { drain } = this.context;
     this.options.log.info({ decision: 'drain', reason: 'planned stop', active: drain.getActive() });
     drain.begin();
-    // The zone hears of it with the next heartbeat, so pools move away while requests finish here.
+    // The next heartbeat announces the stop, so that pools move to other owners while requests
+    // finish here.
     this.view.refresh();
     await drain.waitIdle(BALANCER_LAG_MS);
     this.shutDown();
--- a/packages/daemon/src/decision-log.ts
+++ b/packages/daemon/src/decision-log.ts
@@ -1,9 +1,9 @@
 import type * as schemas from '@bramleyridge/schemas';
 
-/** How many decisions are kept for `explain`. */
+/** Number of decisions kept for `explain`; older ones are removed when twice as many are stored. */
 const MAX_DECISIONS = 5_000;
 
-/** One decision with its reason and figures; never prompt or answer text. */
+/** One decision with its reason and figures; never contains prompt or response text. */
 export interface Decision {
   readonly decision: string;
   readonly request: string;
@@ -14,13 +14,13 @@
   readonly [figure: string]: string | number | boolean | undefined;
 }
 
-/** Writes a log line for each decision and keeps the last ones for operators who ask. */
+/** Writes a log line for each decision and keeps the most recent ones for operators. */
 export class DecisionLog {
   private recent: (Decision & { readonly at: string })[] = [];
 
   public constructor(private readonly log: schemas.Log) {}
 
-  /** Notes a decision. */
+  /** Logs and stores a decision. */
   public record(decision: Decision): void {
     this.log.info(decision);
     this.recent.push({ ...decision, at: new Date().toISOString() });
@@ -29,7 +29,7 @@
     }
   }
 
-  /** The decisions on one request, oldest first. */
+  /** Returns the decisions on one request, oldest first. */
   public explain(request: string): (Decision & { readonly at: string })[] {
     return this.recent.filter(
       (item) => item.request === request || request.startsWith(`${item.request}.`),
--- a/packages/daemon/src/generation-relay.ts
+++ b/packages/daemon/src/generation-relay.ts
@@ -7,7 +7,7 @@
 import * as callerStreams from './caller-stream.js';
 import type * as handlerContexts from './handler-context.js';
 
-/** A generation that is to be passed on to a caller. */
+/** A generation to be relayed to a caller. */
 export interface RelayTask {
   readonly call: string;
   readonly generation: string;
@@ -16,11 +16,14 @@
   readonly upstream: schemas.Upstream;
   readonly from: number;
   readonly body: stream.Readable | undefined;
-  /** Whether this daemon answers for the generation, and stops it when its caller is gone for good. */
+  /**
+   * Whether this daemon cancels the generation when its caller does not return within the grace
+   * period.
+   */
   readonly mayCancel: boolean;
 }
 
-/** Passes generations on, and decides what becomes of one whose caller is gone. */
+/** Relays generations to callers, and cancels or leaves running those whose caller disconnected. */
 export class GenerationRelay {
   public constructor(private readonly context: handlerContexts.HandlerContext) {}
 
@@ -37,7 +40,7 @@
     );
   }
 
-  /** Collects a generation for a caller that wants it whole. */
+  /** Passes the events of a generation to `add`, for a caller that did not ask for a stream. */
   public async collect(
     task: RelayTask,
     res: http.ServerResponse,
@@ -106,9 +109,9 @@
   }
 
   /**
-   * The caller is gone. It may come back through any daemon within the grace, and then that daemon goes on
-   * with the generation; if nobody comes the engine is told to stop, so that it does not fill its memory
-   * for nobody.
+   * Handles the disconnect of the caller. Within the grace period the caller may resume the
+   * generation through any daemon, which then adopts it. Otherwise the generation is cancelled, so
+   * that the engine does not spend memory on output that nobody receives.
    */
   private async awaitAdoption(task: RelayTask): Promise<requests.RelayEnd> {
     const { adoptions, cfg, clock, engines, log } = this.context;
--- a/packages/daemon/src/handler-context.ts
+++ b/packages/daemon/src/handler-context.ts
@@ -10,11 +10,11 @@
 import type * as poolClients from './pool-client.js';
 import type * as teamAccess from './team-access.js';
 
-/** What the flows of requests share. */
+/** Dependencies shared by the request handlers. */
 export interface HandlerContext {
   readonly cfg: schemas.DaemonConfig;
   readonly incarnation: number;
-  /** What the name of every call of this process begins with; a number follows. */
+  /** The prefix of every call id of this process; a number follows. */
   readonly callPrefix: string;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,4 +1,4 @@
-/** The daemon, for tests and the bench; the program is `bramleyridged`. */
+/** The daemon as a library, for tests and benchmarks; the program is `bramleyridged`. */
 export * from './choose-claim-acceptors.js';
 export * from './completion-body.js';
 export * from './daemon.js';
--- a/packages/daemon/src/leader-tasks.ts
+++ b/packages/daemon/src/leader-tasks.ts
@@ -9,33 +9,38 @@
 import type * as peerRouters from './peer-router.js';
 import * as platformPollers from './platform-poller.js';
 
-/** How often the leader compares what is wanted with what is seen, in milliseconds. */
+/** Interval between two comparisons of the desired and the observed state, in milliseconds. */
 const ROUND_INTERVAL_MS = 500;
 
-/** How often an upstream that nothing was ordered of is looked at, in milliseconds. */
+/** Interval between two load reads of an engine without new orders, in milliseconds. */
 const IDLE_POLL_INTERVAL_MS = 10_000;
 
-/** After how long without a word a zone's revision is not known to be in force, in milliseconds. */
+/**
+ * Time without a heartbeat after which a zone's revision no longer counts as in force, in
+ * milliseconds.
+ */
 const ZONE_TIMEOUT_MS = 5_000;
 
 interface ObservedEngine extends placement.ObservedUpstream {
   readonly at: number;
 }
 
-/** What the leader's tasks need. */
+/** Dependencies of the leader's tasks. */
 export interface LeaderTasksOptions {
   readonly cfg: schemas.DaemonConfig;
   readonly control: controlPlanes.ControlPlane;
   readonly store: members.ConfigurationStore;
   readonly view: members.ZoneView;
   readonly engines: requests.EngineClient;
-  /** Asks a daemon whether it holds what its seat in the claim group has promised. */
+  /** Asks a daemon whether its claim acceptor has recovered its complete state. */
   readonly holdsClaims: (daemonId: string) => Promise<boolean>;
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
 }
 
-/** What one daemon does beside the others while it leads: seats, placement, the state of the zones. */
+/**
+ * Runs the tasks of the leader: assignment of claim acceptors, placement, and status of the zones.
+ */
 export class LeaderTasks {
   public readonly zones: members.ZoneStatus;
   private upstreams = new Map<string, schemas.Upstream>();
@@ -55,13 +60,14 @@
       clock,
       log,
       isActive: () => this.isLeader(),
-      // A new leader may wait for the next look: orders come from rounds, and no caller waits for its list.
+      // Never notified: a new leader may wait for the next poll, since orders are only sent in
+      // rounds and no caller waits for this list.
       activeChanged: new schemas.ChangeSignal(),
       onUpstreams: (list) => this.setUpstreams(list),
     });
   }
 
-  /** Runs until stopped; does nothing while another leads. */
+  /** Runs until stopped; idle while another daemon leads. */
   public async run(): Promise<void> {
     void this.platform.run();
     while (!this.isStopped) {
@@ -74,13 +80,13 @@
     }
   }
 
-  /** Ends the tasks. */
+  /** Stops the tasks. */
   public stop(): void {
     this.isStopped = true;
     this.platform.stop();
   }
 
-  /** Checks and proposes a command, and tells what a plan would do, host by host. */
+  /** Validates and proposes a command; for a plan, also returns its effects on each upstream. */
   public async propose(command: schemas.Command): Promise<peerRouters.ProposeResult> {
     const { control } = this.options;
     await control.getLeadership().barrier();
@@ -103,7 +109,7 @@
     return { faults, effects, result: await control.proposeLocally(command) };
   }
 
-  /** What operators are told. */
+  /** Returns the status report for operators. */
   public describeStatus(): schemas.StatusReport {
     const { cfg, control, store } = this.options;
     const { revision, claimSeats } = store.get();
@@ -124,7 +130,10 @@
     };
   }
 
-  /** The leader's own zone reports to nobody else when the leader is its relay. */
+  /**
+   * Records the leader's own zone. When the leader is the relay of its zone, no other daemon
+   * reports this zone to it.
+   */
   private recordOwnZone(): void {
     const { view } = this.options;
     const [own, ...others] = view.listHeartbeats();
@@ -133,7 +142,7 @@
     }
   }
 
-  /** A zone that is not heard is never said to have a revision in force. */
+  /** A zone without a recent report is never described as having a revision in force. */
   private describeZones(revision: number): schemas.StatusReport['zones'] {
     const reported = new Map(this.zones.list().map((row) => [row.availabilityZone, row]));
     return this.listZoneNames().map((availabilityZone) => {
@@ -223,7 +232,10 @@
     }
   }
 
-  /** Begins a new claim group that remembers nothing, after a majority of the old one has forgotten. */
+  /**
+   * Starts a new claim group without any recorded claims. An operator does this after a majority of
+   * the previous group lost its state.
+   */
   public async refoundClaims(): Promise<void> {
     await this.options.control.getLeadership().barrier();
     const holders = claimAcceptors.chooseClaimAcceptors(
@@ -262,7 +274,7 @@
     }
   }
 
-  /** The daemons that every other one can find: those in the settings. */
+  /** Lists the live daemons that are named in the settings, which every other daemon can find. */
   private listLive(): schemas.Beat[] {
     const { cfg } = this.options;
     const known = new Set([cfg.daemonId, ...cfg.peers.map((peer) => peer.daemonId)]);
--- a/packages/daemon/src/metrics.ts
+++ b/packages/daemon/src/metrics.ts
@@ -1,7 +1,7 @@
 import type * as schemas from '@bramleyridge/schemas';
 import * as telemetry from '@bramleyridge/telemetry';
 
-/** Counts and times of this daemon; off unless the settings name a receiver. */
+/** The metrics of this daemon; discarded unless the settings name a statsd receiver. */
 export class Metrics implements telemetry.MetricSink {
   private readonly statsd: telemetry.StatsdMetrics | undefined;
   private readonly sink: telemetry.MetricSink;
@@ -16,22 +16,22 @@
     this.sink = this.statsd ?? new telemetry.SilentMetrics();
   }
 
-  /** Counts one thing that happened. */
+  /** Increments a counter. */
   public count(id: telemetry.MetricId, labels: telemetry.Labels = {}): void {
     this.sink.count(id, labels);
   }
 
-  /** Notes a time in milliseconds. */
+  /** Records a duration in milliseconds. */
   public time(id: telemetry.MetricId, ms: number, labels: telemetry.Labels = {}): void {
     this.sink.time(id, ms, labels);
   }
 
-  /** Has a level read and sent again and again. */
+  /** Registers a gauge that is read and sent periodically. */
   public watch(id: telemetry.MetricId, read: () => number): void {
     this.sink.watch(id, read);
   }
 
-  /** Sends what is buffered and ends. */
+  /** Sends buffered metrics and closes the socket. */
   public close(): void {
     this.statsd?.close();
   }
--- a/packages/daemon/src/operator-api.ts
+++ b/packages/daemon/src/operator-api.ts
@@ -10,7 +10,7 @@
 import type * as leaderTasks from './leader-tasks.js';
 import * as peerRouters from './peer-router.js';
 
-/** How long the leader may take to answer, in milliseconds. */
+/** Time within which the leader must answer, in milliseconds. */
 const LEADER_DEADLINE_MS = 4_000;
 
 const planBody = z.strictObject({
@@ -20,14 +20,14 @@
 
 const confirmBody = z.strictObject({ requestId: z.string().min(1).max(128) });
 
-/** What the operators' API needs. */
+/** Dependencies of the operators' API. */
 export interface OperatorApiOptions {
   readonly cfg: schemas.DaemonConfig;
   readonly control: controlPlanes.ControlPlane;
   readonly leader: leaderTasks.LeaderTasks;
   readonly decisions: decisionLogs.DecisionLog;
   readonly getDeclaration: () => schemas.Declaration;
-  /** This daemon's role in control, and what its links carried. */
+  /** Returns this daemon's role in the control plane and the traffic counts of its links. */
   readonly describeLinks: () => object;
   readonly reloadKeys: () => void;
   readonly drain: () => void;
@@ -39,11 +39,11 @@
   operator: string,
 ) => Promise<void>;
 
-/** What operators reach over HTTP, with tokens of their own. */
+/** The HTTP API for operators, who authenticate with tokens of their own. */
 export class OperatorApi {
   public constructor(private readonly options: OperatorApiOptions) {}
 
-  /** Adds the routes. */
+  /** Registers the routes. */
   public addTo(app: polka.Polka): void {
     const base = '/operator/v1';
     app.post(
--- a/packages/daemon/src/peer-mesh.ts
+++ b/packages/daemon/src/peer-mesh.ts
@@ -7,10 +7,10 @@
 /** A typed client of one peer. */
 export type PeerApi = peers.PeerApi<peerRouters.PeerRouter>;
 
-/** Where a peer listens. */
+/** The address at which a peer listens. */
 export type PeerAddress = peers.PeerPlace;
 
-/** The links to other daemons, found by their names. */
+/** The links to other daemons, addressed by daemon id. */
 export class PeerMesh {
   private isCutOff: (daemonId: string) => boolean = () => false;
   private readonly links: peers.PeerMesh<peerRouters.PeerRouter>;
@@ -24,12 +24,12 @@
     this.links = new peers.PeerMesh({ keyring, deadlineMs, isCutOff });
   }
 
-  /** Cuts links, for failure tests. */
+  /** Drops the links to the matching peers; for failure tests. */
   public setPartition(isCutOff: (daemonId: string) => boolean): void {
     this.isCutOff = isCutOff;
   }
 
-  /** The client of a peer that this daemon knows. */
+  /** Returns the client of a peer whose address is known to this daemon. */
   public get(daemonId: string): PeerApi {
     const address = this.findAddress(daemonId);
     if (address === undefined) {
@@ -38,12 +38,12 @@
     return this.getAt(daemonId, address);
   }
 
-  /** The client of a peer at a known place. */
+  /** Returns the client of a peer at a given address. */
   public getAt(daemonId: string, address: PeerAddress): PeerApi {
     return this.links.getAt(daemonId, address);
   }
 
-  /** One heartbeat to a peer. */
+  /** Sends one heartbeat to a peer. */
   public sync(
     peer: members.PeerAddress,
     req: schemas.SyncReq,
@@ -52,12 +52,12 @@
     return this.getAt(peer.daemonId, peer).sync.mutate(req, { context: { deadlineMs } });
   }
 
-  /** What this daemon's own links carried, for the capacity page. */
+  /** Returns the traffic counts of this daemon's outbound links. */
   public getCounts(): peers.LinkCounts {
     return this.links.getCounts();
   }
 
-  /** Ends every link. */
+  /** Closes all links. */
   public close(): void {
     this.links.close();
   }
--- a/packages/daemon/src/peer-router.ts
+++ b/packages/daemon/src/peer-router.ts
@@ -7,10 +7,10 @@
 
 import type * as adoptionRegistries from './adoption-registry.js';
 
-/** A request for room, which may be asked again while it waits. */
+/** A request for capacity, which may be repeated while it is queued. */
 export const grantInput = z.object({ model: z.string(), req: routing.grantRequest });
 
-/** The answer to a request for room; `pending` while it waits. */
+/** The reply to a request for capacity; `isPending` while the request is queued. */
 export const grantResult = z.object({
   isPending: z.boolean(),
   upstreamId: z.string().optional(),
@@ -22,27 +22,29 @@
   retryAfterS: z.number(),
 });
 
-/** The answer to a request for room. */
+/** The reply to a request for capacity. */
 export type GrantResult = z.infer<typeof grantResult>;
 
-/** What a daemon tells a pool's owner of its generations. */
+/** A daemon's report on its generations to the owner of a pool. */
 export const poolReport = z.object({
   model: z.string(),
   daemonId: z.string(),
-  /** What every call of this process begins with; the rest is its number. */
+  /** The common prefix of all call ids of this process; the rest of an id is its number. */
   prefix: z.string(),
-  /** Whether `tokens` names every generation of this daemon; an end is told without them. */
+  /** Whether `tokens` lists every generation of this daemon; reports of ends only do not. */
   isWhole: z.boolean(),
-  /** For each call its number and its tokens so far, one after the other. */
+  /** The number and the current tokens of each call, as a flat list of pairs. */
   tokens: z.array(z.int()),
-  /** For each call that ended its number, its tokens, and 1 if it came to its own end. */
+  /**
+   * The number and the tokens of each ended call, and 1 if it completed, as a flat list of triples.
+   */
   finished: z.array(z.int()),
   registered: z.array(routing.runningGeneration),
-  /** Upstreams that this daemon found leaving or dead. */
+  /** Upstreams that this daemon found to be leaving or dead. */
   leaving: z.array(z.string()),
 });
 
-/** What a daemon tells a pool's owner of its generations. */
+/** A daemon's report on its generations to the owner of a pool. */
 export type PoolReport = z.infer<typeof poolReport>;
 
 /** A change of the voters. */
@@ -51,14 +53,14 @@
 /** A change of the voters. */
 export type VoterChange = z.infer<typeof voterChange>;
 
-/** What became of a command; faults mean that it was not even proposed. */
+/** The result of a command; a command with faults was not proposed. */
 export interface ProposeResult {
   readonly faults: readonly string[];
   readonly effects: readonly string[];
   readonly result?: schemas.CommandResult;
 }
 
-/** What this daemon does for its peers. */
+/** The procedures that a daemon implements for its peers. */
 export interface PeerHandlers {
   genesis(): Promise<consensus.Genesis>;
   vote(req: consensus.VoteReq): Promise<consensus.VoteRes>;
@@ -73,7 +75,7 @@
   pool(report: PoolReport): Promise<void>;
   claim(req: requests.ClaimReq): Promise<requests.ClaimRes>;
   recover(req: requests.RecoverReq): Promise<requests.RecoverRes>;
-  /** Whether this daemon holds what its seat in the claim group has promised. */
+  /** Whether this daemon's claim acceptor has recovered its complete state. */
   holdsClaims(): Promise<boolean>;
   outcome(req: { call: string; waitMs: number }): Promise<requests.CallState>;
   adopt(req: { generation: string }): Promise<adoptionRegistries.AdoptResult>;
@@ -81,7 +83,7 @@
 
 const t = trpc.initTRPC.create();
 
-/** The procedures between daemons; every one has a deadline on the asking side. */
+/** Creates the router of the procedures between daemons; callers set a deadline on every call. */
 export function createPeerRouter(handlers: PeerHandlers) {
   return t.router({
     genesis: t.procedure.mutation(() => handlers.genesis()),
--- a/packages/daemon/src/platform-poller.ts
+++ b/packages/daemon/src/platform-poller.ts
@@ -2,13 +2,13 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as undici from 'undici';
 
-/** How often the platform's list is read, in milliseconds. */
+/** Interval between two reads of the platform's list, in milliseconds. */
 const POLL_INTERVAL_MS = 1_000;
 
-/** How long an answer may take, in milliseconds. */
+/** Time within which the platform must answer, in milliseconds. */
 const RESPONSE_TIMEOUT_MS = 2_000;
 
-/** Reads the platform's list of upstreams while this daemon is the one that should. */
+/** Polls the platform's list of upstreams while `isActive` returns true. */
 export class PlatformPoller {
   private isStopped = false;
 
@@ -19,13 +19,13 @@
       readonly clock: schemasTypes.Clock;
       readonly log: schemasTypes.Log;
       readonly isActive: () => boolean;
-      /** Tells that it may have become due. */
+      /** Notified when `isActive` may have changed. */
       readonly activeChanged: schemasTypes.ChangeSignal;
       readonly onUpstreams: (upstreams: schemasTypes.Upstream[]) => void;
     },
   ) {}
 
-  /** Reads until stopped. */
+  /** Polls until stopped. */
   public async run(): Promise<void> {
     const { clock, activeChanged, isActive } = this.options;
     while (!this.isStopped) {
@@ -33,13 +33,14 @@
         await this.poll();
         await clock.sleep(POLL_INTERVAL_MS);
       } else {
-        // A daemon that becomes the relay reads at once: until then its zone may know no upstreams at all.
+        // A daemon that becomes the relay polls at once: until then its zone may have no list of
+        // upstreams.
         await activeChanged.wait(clock, POLL_INTERVAL_MS);
       }
     }
   }
 
-  /** Reads the list once; a platform that does not answer leaves what was known. */
+  /** Reads the list once; when the platform does not answer, the previous list stays in use. */
   public async poll(): Promise<void> {
     const { availabilityZone, log, onUpstreams, url } = this.options;
     if (url === undefined) {
@@ -57,7 +58,7 @@
     }
   }
 
-  /** Ends the task. */
+  /** Stops the task. */
   public stop(): void {
     this.isStopped = true;
   }
--- a/packages/daemon/src/pool-client.ts
+++ b/packages/daemon/src/pool-client.ts
@@ -6,22 +6,26 @@
 import type * as peerRouters from './peer-router.js';
 import type * as poolManagers from './pool-manager.js';
 
-/** How often owners are told of progress, in milliseconds. */
+/** Interval between two full progress reports to owners, in milliseconds. */
 const PROGRESS_INTERVAL_MS = 2_000;
 
-/** How long an ask may be under way: the owner's slice and a margin, in milliseconds. */
+/**
+ * Deadline of one capacity request, in milliseconds; longer than the owner's wait for a decision.
+ */
 const GRANT_DEADLINE_MS = 2_000;
 
-/** How often the owner is tried before this daemon decides alone. */
+/** Number of failed requests to the owner after which this daemon chooses an upstream itself. */
 const MAX_OWNER_FAILURES = 3;
 
-/** The pause between two tries, in milliseconds. */
+/** Pause between two requests to the owner, in milliseconds. */
 const RETRY_PAUSE_MS = 100;
 
-/** The most generations that a daemon alone sends to one upstream. */
+/**
+ * Maximum number of this daemon's generations on one upstream that it chooses without the owner.
+ */
 const MAX_FALLBACK_GENERATIONS = 4;
 
-/** Room that was given, and the way to give it back. */
+/** Granted capacity on an upstream, to be returned with `release`. */
 export interface CapacityGrant {
   readonly upstream: schemas.Upstream;
   readonly version: string;
@@ -37,7 +41,7 @@
   owner: string | undefined;
 }
 
-/** What the client needs. */
+/** Dependencies of the client. */
 export interface PoolClientOptions {
   readonly cfg: schemas.DaemonConfig;
   readonly view: members.ZoneView;
@@ -47,11 +51,14 @@
   readonly clock: schemas.Clock;
   readonly log: schemas.Log;
   readonly random: () => number;
-  /** What the name of every call of this process begins with. */
+  /** The prefix of every call id of this process. */
   readonly callPrefix: string;
 }
 
-/** Asks the pools' owners for room, tells them how this daemon's generations go on, decides alone if it must. */
+/**
+ * Requests capacity from the owners of pools and reports this daemon's generations to them. Chooses
+ * an upstream without the owner when no owner answers.
+ */
 export class PoolClient {
   private readonly active = new Map<string, ActiveGeneration>();
   private readonly finished = new Map<string, number[]>();
@@ -61,7 +68,7 @@
 
   public constructor(private readonly options: PoolClientOptions) {}
 
-  /** Tells owners of ends at once and of all progress now and then, until stopped. */
+  /** Reports ends at once, and the progress of all generations periodically, until stopped. */
   public async run(): Promise<void> {
     const { clock } = this.options;
     let nextFullReportAt = clock.now();
@@ -73,13 +80,15 @@
     }
   }
 
-  /** Ends the task. */
+  /** Stops the task. */
   public stop(): void {
     this.isStopped = true;
     this.updates.notify();
   }
 
-  /** Asks for room until it is given or refused, following the owner when it moves. */
+  /**
+   * Requests capacity until it is granted or refused, and follows the pool when its owner changes.
+   */
   public async requestCapacity(
     model: string,
     req: routing.GrantRequest,
@@ -109,7 +118,7 @@
     throw createNoCapacity(req.team, 1);
   }
 
-  /** Notes how far a generation came. */
+  /** Records the number of tokens of a generation. */
   public recordProgress(generation: string, tokens: number): void {
     const active = this.active.get(generation);
     if (active !== undefined) {
@@ -117,7 +126,7 @@
     }
   }
 
-  /** Gives room back. */
+  /** Returns the capacity of a generation that ended. */
   public release(generation: string, isNatural: boolean): void {
     const active = this.active.get(generation);
     if (active === undefined) {
@@ -130,19 +139,19 @@
     this.updates.notify();
   }
 
-  /** Tells the owner of the first sign that an upstream is leaving or dead. */
+  /** Reports the first sign that an upstream is leaving or dead to the owner. */
   public reportLeaving(model: string, upstreamId: string): void {
     const set = this.leaving.get(model) ?? new Set<string>();
     this.leaving.set(model, set.add(upstreamId));
     this.updates.notify();
   }
 
-  /** How many generations this daemon relays now. */
+  /** Returns the number of generations that this daemon relays. */
   public countActiveGenerations(): number {
     return this.active.size;
   }
 
-  /** An upstream of this zone by name. */
+  /** Returns the upstream of this zone with the given id. */
   public findUpstream(upstreamId: string): schemas.Upstream | undefined {
     const { upstreams } = this.options.view.getDirectory();
     return upstreams.find((item) => item.upstreamId === upstreamId);
@@ -190,8 +199,9 @@
   }
 
   /**
-   * When no owner answers, the daemon goes on with a conservative share of its own: it cannot know what
-   * others do, so it takes the better of two at random and never more than a few on one upstream.
+   * Chooses an upstream when no owner answers. The load from other daemons is unknown, so the
+   * choice is conservative: the less loaded of two random upstreams, with a low maximum for each
+   * upstream.
    */
   private chooseWithoutOwner(model: string, req: routing.GrantRequest): CapacityGrant {
     const { store, view, random } = this.options;
@@ -251,8 +261,9 @@
       return;
     }
     const own = [...this.active.values()].filter((item) => item.model === model);
-    // The account of room dies with its owner. Each daemon tells the next one what it relays, so the new
-    // account is whole after one round and no upstream is filled twice.
+    // The capacity ledger is lost when its owner fails. Every daemon registers the generations it
+    // relays with the next owner, so the new ledger is complete after one report of each daemon and
+    // no upstream is overcommitted.
     const unregistered = own.filter((item) => item.owner !== owner.daemonId);
     const finished = this.finished.get(model) ?? [];
     const leaving = [...(this.leaving.get(model) ?? [])];
@@ -317,7 +328,7 @@
   });
 }
 
-/** The number of a call, the last part of its name. */
+/** Returns the number of a call, the last part of its id. */
 function getCallNumber(call: string): number {
   return Number.parseInt(call.slice(call.lastIndexOf('.') + 1), 36);
 }
--- a/packages/daemon/src/pool-manager.ts
+++ b/packages/daemon/src/pool-manager.ts
@@ -5,22 +5,22 @@
 
 import type * as peerRouters from './peer-router.js';
 
-/** How often waiting requests and silent daemons are looked at, in milliseconds. */
+/** Interval between two checks for timed-out requests and silent daemons, in milliseconds. */
 const TICK_INTERVAL_MS = 100;
 
-/** How long one ask may wait before it is answered `pending`, in milliseconds. */
+/** Time after which a queued request is answered with `isPending`, in milliseconds. */
 const MAX_GRANT_WAIT_MS = 1_000;
 
-/** After how long without being asked again a waiting request is withdrawn, in milliseconds. */
+/** Time without a repeated request after which a queued request is withdrawn, in milliseconds. */
 const ABANDON_AFTER_MS = 4_000;
 
-/** Every how many rounds an upstream that does not serve the pool's model is asked again. */
+/** Number of load polls between two reads of upstreams that do not serve the pool's model. */
 const DISCOVERY_INTERVAL_ROUNDS = 4;
 
-/** Lost reports in a row after which an upstream gets nothing new. */
+/** Number of consecutive failed load reports after which an upstream gets no new work. */
 const MAX_FAILED_REPORTS = 4;
 
-/** How long an upstream that refused gets nothing new, in milliseconds. */
+/** Time for which an upstream that refused gets no new work, in milliseconds. */
 const REFUSAL_BACKOFF_MS = 5_000;
 
 interface PendingGrant {
@@ -34,15 +34,15 @@
   readonly pendingGrants: Map<string, PendingGrant>;
   readonly servedVersions: Map<string, readonly string[]>;
   readonly failedReports: Map<string, number>;
-  /** The number of the next cache event of each upstream. */
+  /** The sequence number of the next cache event, by upstream. */
   readonly nextCacheEvent: Map<string, number>;
-  /** When each upstream last refused work or said that it leaves. */
+  /** When an upstream last refused work or reported that it is leaving, by upstream. */
   readonly refusedAt: Map<string, number>;
   firstPoll: Promise<void>;
   polls: number;
 }
 
-/** What a pool host needs. */
+/** Dependencies of the pool manager. */
 export interface PoolManagerOptions {
   readonly cfg: schemas.DaemonConfig;
   readonly view: members.ZoneView;
@@ -52,7 +52,7 @@
   readonly log: schemas.Log;
 }
 
-/** The pools that this daemon owns: their queues, their accounts, the watch on their upstreams' load. */
+/** Manages the pools that this daemon owns: their queues, capacity ledgers and load polling. */
 export class PoolManager {
   private readonly pools = new Map<string, Pool>();
   private isStopped = false;
@@ -75,13 +75,15 @@
     }
   }
 
-  /** Ends the tasks and sends everyone who waits to the next owner. */
+  /** Stops the tasks and closes the queues, so that waiting requests go to the next owner. */
   public stop(): void {
     this.isStopped = true;
     this.pools.forEach((pool) => pool.owner.close());
   }
 
-  /** One ask for room; the same generation may ask again while it waits. */
+  /**
+   * Handles one capacity request; the same generation may repeat its request while it is queued.
+   */
   public async grant(model: string, req: routing.GrantRequest): Promise<peerRouters.GrantResult> {
     const pool = this.getPool(model);
     await pool.firstPoll;
@@ -109,7 +111,7 @@
     return this.createResult(model, pool, pending.decision);
   }
 
-  /** What a daemon tells of its generations. */
+  /** Applies a daemon's report on its generations. */
   public applyReport(report: peerRouters.PoolReport): void {
     const { daemonId, finished, model, prefix, tokens } = report;
     const { owner, refusedAt } = this.getPool(model);
@@ -172,7 +174,10 @@
       .filter((intent) => intent.availabilityZones.includes(cfg.availabilityZone));
   }
 
-  /** Reads the load of the pool's upstreams, and now and then of those that may come to serve it. */
+  /**
+   * Reads the load of the pool's engines, and periodically that of engines not serving its model
+   * yet.
+   */
   private async pollLoads(model: string, pool: Pool): Promise<void> {
     const { view } = this.options;
     pool.polls += 1;
@@ -192,7 +197,10 @@
     );
   }
 
-  /** A refusal may be the first sign that an upstream leaves; without a second one it is tried again. */
+  /**
+   * A refusal may be the first sign that an upstream is leaving. Unless it refuses again, the
+   * upstream gets work again after the backoff.
+   */
   private isBackedOff(pool: Pool, upstreamId: string): boolean {
     const refusedAt = pool.refusedAt.get(upstreamId) ?? -Infinity;
     const isRefusing = this.options.clock.now() - refusedAt < REFUSAL_BACKOFF_MS;
@@ -238,7 +246,8 @@
       return;
     }
     const { affinity } = pool.owner;
-    // After a gap a prefix may have been dropped without a word, so everything known is unknown again.
+    // Events that were missed may include the removal of any prefix, so all entries of the upstream
+    // are dropped.
     if (cache.first > (pool.nextCacheEvent.get(upstreamId) ?? 0)) {
       affinity.forget(upstreamId);
     }
@@ -280,7 +289,10 @@
   }
 }
 
-/** The wanted version where it is loaded; until then whatever version there is, so that one always serves. */
+/**
+ * Selects the engines with a declared version. While none has one, selects the engines with any
+ * version, so that the model stays available.
+ */
 function selectServingEngines(
   engines: readonly schemas.Upstream[],
   servedVersions: ReadonlyMap<string, readonly string[]>,
--- a/packages/daemon/src/resume-handler.ts
+++ b/packages/daemon/src/resume-handler.ts
@@ -6,14 +6,14 @@
 import type * as generationRelays from './generation-relay.js';
 import type * as handlerContexts from './handler-context.js';
 
-/** Goes on with a generation for a caller that lost its connection, at whichever daemon it comes to. */
+/** Resumes a generation for a caller that lost its connection; the caller may use any daemon. */
 export class ResumeHandler {
   public constructor(
     private readonly context: handlerContexts.HandlerContext,
     private readonly relay: generationRelays.GenerationRelay,
   ) {}
 
-  /** Serves one request. */
+  /** Handles one request. */
   public async handle(
     req: http.IncomingMessage,
     res: http.ServerResponse,
@@ -52,7 +52,10 @@
     await this.relay.stream(task, res);
   }
 
-  /** Tells the daemon that relayed it not to cancel it; true when its caller is still connected there. */
+  /**
+   * Asks the daemon that relayed the generation not to cancel it; resolves to whether its caller is
+   * still connected there.
+   */
   private async adopt(daemonId: string, generation: string): Promise<boolean> {
     const { adoptions, cfg, log, mesh } = this.context;
     if (daemonId === cfg.daemonId) {
--- a/packages/daemon/src/service-call-handler.ts
+++ b/packages/daemon/src/service-call-handler.ts
@@ -5,7 +5,7 @@
 
 import type * as handlerContexts from './handler-context.js';
 
-/** Methods that by their definition may be sent again. */
+/** Methods that HTTP defines as idempotent. */
 const IDEMPOTENT_METHODS = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']);
 
 interface Job {
@@ -18,7 +18,7 @@
   attempt: number;
 }
 
-/** The flow of a call to a plain service. */
+/** Handles calls to services that are not engines. */
 export class ServiceCallHandler {
   private callCounter = 0;
   private readonly outstanding = new Map<string, number>();
@@ -26,7 +26,7 @@
 
   public constructor(private readonly context: handlerContexts.HandlerContext) {}
 
-  /** Serves one request. */
+  /** Handles one request. */
   public async handle(
     req: http.IncomingMessage,
     res: http.ServerResponse,
@@ -63,7 +63,7 @@
     );
   }
 
-  /** One attempt; nothing when another call holds the key but did not run. */
+  /** Runs one attempt; resolves to undefined when another call holds the key but did not run. */
   private async attempt(
     job: Job,
     upstream: schemas.Upstream,
@@ -114,7 +114,10 @@
     return failure;
   }
 
-  /** The answer of the call that holds this request's key; nothing when the key is free. */
+  /**
+   * Resolves to the answer of the call that holds the key of this request; undefined when the key
+   * is free.
+   */
   private async joinClaimedCall(job: Job): Promise<requests.KeptAnswer | undefined> {
     const { claims } = this.context;
     while (job.key !== undefined) {
@@ -126,7 +129,8 @@
       if (claimed.state.state === 'done') {
         return claimed.state.answer;
       }
-      // The daemon that claimed it died or lost the answer: whether the service ran it, nobody knows.
+      // The claiming daemon failed or lost the answer, so it cannot be determined whether the
+      // service ran the call.
       if (claimed.state.state !== 'not-run') {
         throw createRefusal('claimLost', 'unknown');
       }
@@ -135,7 +139,7 @@
     return undefined;
   }
 
-  /** The better of two upstreams at random, by what this daemon has outstanding there. */
+  /** Chooses the one of two random upstreams that has fewer outstanding calls of this daemon. */
   private choose(job: Job): schemas.Upstream {
     const { cfg, clock, random, view } = this.context;
     const candidates = view
@@ -230,7 +234,10 @@
   };
 }
 
-/** The caller's word goes first, then the declaration's, then the method's definition. */
+/**
+ * Returns whether a call may be repeated. The caller's header takes precedence over the
+ * declaration, and the declaration over the definition of the method.
+ */
 function isCallRepeatable(
   req: http.IncomingMessage,
   service: schemas.Service,
--- a/packages/daemon/src/team-access.ts
+++ b/packages/daemon/src/team-access.ts
@@ -5,7 +5,7 @@
 
 const BEARER = /^Bearer (.+)$/i;
 
-/** Who asks, and whether their data may be here. */
+/** Authenticates teams and checks in which zones their data may be handled. */
 export class TeamAccess {
   private byDigest = new Map<string, string>();
   private indexedRevision = -1;
@@ -16,7 +16,7 @@
     private readonly getEntries: () => schemas.ZoneEntries,
   ) {}
 
-  /** The team of a request, by its bearer token. */
+  /** Returns the team of a request, by its bearer token. */
   public authenticate(req: http.IncomingMessage): schemas.Team {
     if (!this.store.isReady()) {
       throw createRefusal('notReady', 503, 1);
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Refuses, before the body is read, a team whose data may not be in this availability zone. Reading it
-   * and then forwarding it would already have handled it outside its place.
+   * Refuses a team whose data may not be handled in this availability zone. This happens before the
+   * body is read: reading and forwarding the body would already handle the data in the wrong zone.
    */
   public checkZoneAllowed(team: schemas.Team, path: string): void {
     const zone = this.cfg.availabilityZone;
@@ -58,8 +58,8 @@
       );
       this.indexedRevision = revision;
     }
-    // The look-up goes by digest, so its time tells nothing of the secret; the digest is then compared
-    // in constant time.
+    // The look-up uses a digest, so that its duration reveals nothing about the secret; the secret
+    // is then compared in constant time.
     const digest = schemas.getSha256(secret);
     const name = this.byDigest.get(digest);
     return name !== undefined && schemas.isSecretOf(secret, digest) ? name : undefined;
