--- a/packages/daemon/src/completion-body.ts
+++ b/packages/daemon/src/completion-body.ts
@@ -1,7 +1,7 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as z from 'zod';
 
-/** Estimated characters per token; the tokenizer of the model is not available here. */
+/** Assumed characters per token, since nothing more precise is known about the prompt. */
 const CHARS_PER_TOKEN = 4;
 
 /** Assumed maximum of output tokens when the caller sets no limit. */
--- a/packages/daemon/src/pool-client.ts
+++ b/packages/daemon/src/pool-client.ts
@@ -9,9 +9,7 @@
 /** Interval between two full progress reports to owners, in milliseconds. */
 const PROGRESS_INTERVAL_MS = 2_000;
 
-/**
- * Deadline of one capacity request, in milliseconds; longer than the owner's wait for a decision.
- */
+/** Deadline of one capacity request, in milliseconds: the owner's longest wait and a margin. */
 const GRANT_DEADLINE_MS = 2_000;
 
 /** Number of failed requests to the owner after which this daemon chooses an upstream itself. */
--- a/packages/daemon/tests/caller-stream.test.ts
+++ b/packages/daemon/tests/caller-stream.test.ts
@@ -20,10 +20,10 @@
 });
 
 void tap.default.test(
-  'a caller that takes nothing costs bounded memory and is given up',
+  'a caller that does not read uses bounded memory and is disconnected',
   async (t) => {
-    // The caller opens a stream and never reads. Writing waits once the sockets are full, so that nothing
-    // more is read from the engine; after the grace the caller counts as gone.
+    // The caller opens a stream and never reads. Writes wait once the socket buffers are full, so
+    // that nothing more is read from the engine; after the grace period the caller is disconnected.
     const done = new Promise<{ written: number; isConnected: boolean }>((resolve) => {
       const server = http.createServer((_req, res) => {
         const stream = new callerStreams.CallerStream(res, { generation: 'g', model: 'm', limits });
@@ -50,7 +50,7 @@
       });
     });
     const { isConnected, written } = await done;
-    t.notOk(isConnected, 'the caller was given up');
-    t.ok(written < MAX_CHUNKS, `${written} MB went to the sockets, then writing waited`);
+    t.notOk(isConnected, 'the caller was disconnected');
+    t.ok(written < MAX_CHUNKS, `${written} MB were written to the sockets, then writes waited`);
   },
 );
--- a/packages/daemon/tests/choose-claim-acceptors.test.ts
+++ b/packages/daemon/tests/choose-claim-acceptors.test.ts
@@ -3,7 +3,7 @@
 
 import * as claimAcceptors from '../src/choose-claim-acceptors.js';
 
-/** A daemon's heartbeat; its name begins with its zone. */
+/** Creates a daemon's heartbeat; the first letter of its id is its zone. */
 function createHeartbeat(daemonId: string): schemas.Beat {
   return {
     daemonId,
@@ -19,7 +19,10 @@
 
 const ACCEPTORS = ['a1', 'b1', 'c1'].map((daemonId) => ({ daemonId, since: 1 }));
 
-/** Who is to hold the acceptors, with daemons that have copied, are copying, or do not answer. */
+/**
+ * Chooses the next acceptors; `answers` is true for a complete acceptor, false for one that is
+ * copying, and missing for one that does not answer.
+ */
 function choose(
   acceptors: readonly schemas.ClaimSeat[],
   live: readonly string[],
@@ -36,36 +39,46 @@
   });
 }
 
-void tap.default.test('a lost holder is replaced, from its own zone first', async (t) => {
+void tap.default.test('a lost acceptor is replaced, preferably in its own zone', async (t) => {
   const answers = { a1: true, b1: true, c1: true };
   t.same(await choose(ACCEPTORS, ['b1', 'c1', 'a2', 'b2'], answers), ['a2@1', 'b1@1', 'c1@1']);
-  t.equal(await choose(ACCEPTORS, ['a1', 'b1', 'c1', 'a2'], answers), undefined, 'all are there');
+  t.equal(
+    await choose(ACCEPTORS, ['a1', 'b1', 'c1', 'a2'], answers),
+    undefined,
+    'all acceptors are live',
+  );
 });
 
-void tap.default.test('no seat is given away while another is being copied', async (t) => {
-  // Callers with a key were refused for an hour. A holder was lost, and its successor had not copied yet when a second
-  // one was silent for a moment. Its seat was given away too, and with it the only memory from which the first could
-  // have been completed: when the second was back it had been told that it no longer counts.
+void tap.default.test('no acceptor is replaced while another one is copying', async (t) => {
+  // Guards against calls with a key being refused until an operator acts, as happened for an hour.
+  // An acceptor was lost, and its replacement was still copying when a second one was silent for a
+  // moment. The second one was replaced too, which discarded the only state from which the first
+  // replacement could have become complete: on its return the second one had already been removed
+  // from the group.
   const acceptors = [{ daemonId: 'a2', since: 2 }, ...ACCEPTORS.slice(1)];
   const live = ['a2', 'c1', 'b2'];
   t.equal(
     await choose(acceptors, live, { a2: false, c1: true }),
     undefined,
-    'the second one is waited for',
+    'the silent one is not replaced yet',
   );
   t.same(
     await choose(acceptors, live, { a2: true, c1: true }),
     ['a2@1', 'b2@1', 'c1@1'],
-    'until the first has copied',
+    'it is replaced once the first one is complete',
   );
   t.same(
     await choose(acceptors, ['b1', 'c1', 'a3'], { b1: true, c1: true }),
     ['a3@1', 'b1@1', 'c1@1'],
-    'a successor that died itself is replaced',
+    'a lost replacement is replaced',
   );
 });
 
-void tap.default.test('a holder that does not answer holds nothing up', async (t) => {
-  // Daemons of the version before cannot be asked; the group must go on being mended while they are replaced.
-  t.same(await choose(ACCEPTORS, ['b1', 'c1', 'a2'], {}), ['a2@1', 'b1@1', 'c1@1']);
-});
+void tap.default.test(
+  'an acceptor that does not answer does not block a replacement',
+  async (t) => {
+    // Daemons of the previous version do not have this procedure; lost acceptors must still be
+    // replaced during an upgrade.
+    t.same(await choose(ACCEPTORS, ['b1', 'c1', 'a2'], {}), ['a2@1', 'b1@1', 'c1@1']);
+  },
+);
--- a/packages/daemon/tests/control.test.ts
+++ b/packages/daemon/tests/control.test.ts
@@ -24,19 +24,19 @@
   return upstreams.some((item) => item.upstreamId === id);
 }
 
-/** Plans, until the plan is accepted where `isStubborn`, and confirms. */
+/** Plans and confirms; repeats the plan until it is accepted when `isRetried`. */
 async function confirm(
   deployment: deployments.SmallDeployment,
   requestId: string,
   files: readonly schemas.DeclarationFile[],
-  isStubborn = false,
+  isRetried = false,
 ): Promise<void> {
   for (let i = 0; ; i += 1) {
     const planned = await deployment.callOperatorApi('/plans', {
       requestId: `${requestId}-${i}`,
       files,
     });
-    if (planned.status === 200 || !isStubborn) {
+    if (planned.status === 200 || !isRetried) {
       const { planId } = (planned.body as Planned).plan;
       await deployment.callOperatorApi(`/plans/${planId}/confirm`, {
         requestId: `${requestId}-confirm`,
@@ -61,15 +61,19 @@
       });
       const { plan } = answer.body as Planned;
       t2.equal(plan.changes.length, 1);
-      t2.equal(getWeight(deployment, 0), 1, 'nothing happened yet');
+      t2.equal(getWeight(deployment, 0), 1, 'nothing has changed yet');
       const again = await deployment.callOperatorApi('/plans', {
         requestId: 'p1',
         files: withWeight(files, 5),
       });
-      t2.equal((again.body as Planned).plan.planId, plan.planId, 'a resend gets the first answer');
+      t2.equal(
+        (again.body as Planned).plan.planId,
+        plan.planId,
+        'a repeated request gets the first response',
+      );
     });
 
-    await t.test('of two operators with equal numbers exactly one wins', async (t2) => {
+    await t.test('of two plans on the same base revision exactly one is confirmed', async (t2) => {
       const [one, two] = await Promise.all(
         [2, 3].map(async (weight) => {
           const answer = await deployment.callOperatorApi('/plans', {
@@ -89,7 +93,7 @@
       t2.match(
         JSON.stringify(loser.body),
         /night confirmed plan-/,
-        'the other learns who and what',
+        'the refusal names the operator and the plan',
       );
       const winner = answers.findIndex((answer) => answer.status === 200);
       const id = winner === 0 ? one!.planId : two!.planId;
@@ -98,11 +102,11 @@
         { requestId: winner === 0 ? 'c-one' : 'c-two' },
         2,
       );
-      t2.same(resent.body, answers[winner]!.body, 'a resend through another voter');
+      t2.same(resent.body, answers[winner]!.body, 'a repeated request through another voter');
     });
 
     await t.test(
-      'a declaration that the deployment cannot hold is refused with its path',
+      'a declaration that the deployment cannot satisfy is refused with its path',
       async (t2) => {
         const cases = [
           {
@@ -132,7 +136,7 @@
     );
 
     await t.test(
-      'a cut-off zone serves on the last revision and takes the newest after',
+      'a cut-off zone keeps its last revision and applies the newest one after the partition',
       async (t2) => {
         deployment.isolateZone('c');
         const before = deployment.running[5]!.daemon.store.get().revision;
@@ -151,21 +155,24 @@
         }
         t2.equal(deployment.running[5]!.daemon.store.get().revision, before);
         deployment.healPartitions();
-        await deployment.waitUntil('the newest in zone c', () => getWeight(deployment, 5) === 13);
+        await deployment.waitUntil(
+          'the newest revision in zone c',
+          () => getWeight(deployment, 5) === 13,
+        );
         t2.equal(getWeight(deployment, 2), 13);
       },
     );
 
     await t.test(
-      'revisions never fall while voters and daemons are killed and restarted',
+      'revisions never decrease while voters and daemons are killed and restarted',
       async (t2) => {
         const highest = deployment.running.map(() => 0);
-        let falls = 0;
-        const watch = setInterval(() => {
+        let decreases = 0;
+        const timer = setInterval(() => {
           deployment.running.forEach((item, i) => {
             const { revision } = item.daemon.store.get();
             if (item.isUp && item.daemon.store.isReady()) {
-              falls += revision < highest[i]! ? 1 : 0;
+              decreases += revision < highest[i]! ? 1 : 0;
               highest[i] = Math.max(highest[i]!, revision);
             }
           });
@@ -191,52 +198,58 @@
           );
           await deployment.restart(victim);
           await deployment.waitUntil(
-            'the restarted daemon to have it',
+            'the revision at the restarted daemon',
             () => getWeight(deployment, victim) === 20 + round,
           );
         }
-        clearInterval(watch);
-        t2.equal(falls, 0);
+        clearInterval(timer);
+        t2.equal(decreases, 0);
       },
     );
 
-    await t.test('an engine that was away gets orders of the last state only', async (t2) => {
-      // 30 versions are confirmed while the platform does not list the engine; then it is back.
-      const engine = deployment.engines[0]!;
-      const all = deployment.platform.get();
-      deployment.platform.set(all.filter((item) => item.upstreamId !== 'engine-a-1'));
-      await deployment.waitUntil('the list to be read', () =>
-        [0, 3].every((i) => !hasEngine(deployment, i, 'engine-a-1')),
-      );
-      const before = engine.orders.length;
-      const zones = files.map((file) => {
-        const isTeam = file.kind === 'team';
-        return isTeam || file.kind === 'intent' ? { ...file, availabilityZones: ['b', 'c'] } : file;
-      });
-      await deployment.apply(zones);
-      for (let i = 2; i <= 31; i += 1) {
-        const version = `v${i}`;
-        const next = zones.map((file) => (file.kind === 'intent' ? { ...file, version } : file));
-        await confirm(deployment, `version-${i}`, next);
-      }
-      deployment.platform.set(all);
-      const last = files.map((file) =>
-        file.kind === 'intent' ? { ...file, version: 'v31' } : file,
-      );
-      await deployment.waitUntil('the engine to be listed', () =>
-        hasEngine(deployment, 0, 'engine-a-1'),
-      );
-      await confirm(deployment, 'version-last', last, true);
-      const ordered = () =>
-        engine.orders.slice(before).map(({ order }) => `${order.action} ${order.version}`);
-      await deployment.waitUntil('the last version to be ordered', () =>
-        ordered().includes('load v31'),
-      );
-      const wrong = ordered().filter((item) => item !== 'load v31' && item !== 'unload v1');
-      t2.same(wrong, [], 'no order of a superseded state');
-    });
+    await t.test(
+      'an engine that was not listed gets orders of the latest state only',
+      async (t2) => {
+        // 30 versions are confirmed while the platform does not list the engine; then it is listed
+        // again.
+        const engine = deployment.engines[0]!;
+        const all = deployment.platform.get();
+        deployment.platform.set(all.filter((item) => item.upstreamId !== 'engine-a-1'));
+        await deployment.waitUntil('the list without the engine', () =>
+          [0, 3].every((i) => !hasEngine(deployment, i, 'engine-a-1')),
+        );
+        const before = engine.orders.length;
+        const zones = files.map((file) => {
+          const isTeam = file.kind === 'team';
+          return isTeam || file.kind === 'intent'
+            ? { ...file, availabilityZones: ['b', 'c'] }
+            : file;
+        });
+        await deployment.apply(zones);
+        for (let i = 2; i <= 31; i += 1) {
+          const version = `v${i}`;
+          const next = zones.map((file) => (file.kind === 'intent' ? { ...file, version } : file));
+          await confirm(deployment, `version-${i}`, next);
+        }
+        deployment.platform.set(all);
+        const last = files.map((file) =>
+          file.kind === 'intent' ? { ...file, version: 'v31' } : file,
+        );
+        await deployment.waitUntil('the engine to be listed', () =>
+          hasEngine(deployment, 0, 'engine-a-1'),
+        );
+        await confirm(deployment, 'version-last', last, true);
+        const ordered = () =>
+          engine.orders.slice(before).map(({ order }) => `${order.action} ${order.version}`);
+        await deployment.waitUntil('the last version to be ordered', () =>
+          ordered().includes('load v31'),
+        );
+        const unexpected = ordered().filter((item) => item !== 'load v31' && item !== 'unload v1');
+        t2.same(unexpected, [], 'no order of a superseded state');
+      },
+    );
 
-    await t.test('a voter that lost its disk is seated again by the operator', async (t2) => {
+    await t.test('an operator adds a voter that lost its disk again', async (t2) => {
       const victim = deployment.running.findIndex(
         ({ cfg }, i) => cfg.voter && i !== deployment.findLeader(),
       );
@@ -244,17 +257,20 @@
       deployment.kill(victim);
       await deployment.restartWithEmptyDisk(victim);
       const voter = () => deployment.running[victim]!.daemon.control.voter;
-      await deployment.waitUntil('the new folder to follow', () => voter() !== undefined);
-      t2.notOk(voter()!.hasSlot(), 'it holds no seat');
+      await deployment.waitUntil(
+        'the voter with the new data directory',
+        () => voter() !== undefined,
+      );
+      t2.notOk(voter()!.hasSlot(), 'it has no voter slot');
       const added = await deployment.callOperatorApi('/voters', { action: 'add', daemonId });
       t2.equal(added.status, 200);
-      await deployment.waitUntil('the seat', () => voter()!.hasSlot());
+      await deployment.waitUntil('the voter slot', () => voter()!.hasSlot());
       await confirm(deployment, 'after-repair', withWeight(files, 77));
       await deployment.waitUntil(
         'the change at the repaired voter',
         () => getWeight(deployment, victim) === 77,
       );
-      t2.pass('and it takes part');
+      t2.pass('the voter applies new entries');
     });
 
     await t.test('a wrong operator token is refused', async (t2) => {
--- a/packages/daemon/tests/crashing-generations.test.ts
+++ b/packages/daemon/tests/crashing-generations.test.ts
@@ -3,16 +3,16 @@
 import * as callers from './support/caller.js';
 import * as deployments from './support/small-deployment.js';
 
-// Seen: a caller that asked for a whole answer is told that it has not run, after four engines have ended under it.
-// How: nothing was delivered, so it was generated anew elsewhere, on one engine after the other; when none was left the last
-// try was refused as not run. Cause: what one generation did to its engines was not counted, and the refusal spoke of the
-// last try only. Proof: with all engines ended by what they run, four of four ended, and the status was 503.
+// Guards against a request that makes every engine exit, one after the other, and is then reported
+// as not run. Nothing had been delivered, so a request for a whole response was retried on each
+// remaining engine. The exits under one request were not counted, and the last attempt, which found
+// no engine, was refused as not run: four of four engines had exited, and the status was 503.
 
-/** How often the test looks which engine runs the generation, in milliseconds. */
+/** Interval between two checks which engine runs the generation, in milliseconds. */
 const ENGINE_CHECK_INTERVAL_MS = 5;
 
 void tap.default.test(
-  'a generation that ends its engines is not made anew on all of them',
+  'a request that makes its engines exit is not retried on all of them',
   async (t) => {
     const deployment = new deployments.SmallDeployment(['a', 'b', 'c'], 1, 4);
     await deployment.start(t);
@@ -34,6 +34,6 @@
     });
     await res.text();
     t.equal(res.status, 502);
-    t.equal(ended.size, 2, 'engines that ended under it');
+    t.equal(ended.size, 2, 'engines that exited while running it');
   },
 );
--- a/packages/daemon/tests/platform-poller.test.ts
+++ b/packages/daemon/tests/platform-poller.test.ts
@@ -4,15 +4,16 @@
 
 import * as platformPollers from '../src/platform-poller.js';
 
-void tap.default.test('a daemon that becomes the relay reads the list at once', async (t) => {
-  // Its zone has just started and nobody has read the list. Until the next look a second later every daemon of the zone
-  // would have no upstreams and could not be ready. The clock of this test stands still, so only the signal can help.
+void tap.default.test('a daemon that becomes the relay polls the list at once', async (t) => {
+  // The zone has just started and no daemon has read the list. Without the signal, every daemon of
+  // the zone would have no upstreams and not be ready until the next poll a second later. The
+  // virtual clock of this test does not advance, so only the signal can trigger the poll.
   const platform = new fakes.FakePlatform(0);
   const url = await platform.listen();
   const activeChanged = new schemas.ChangeSignal();
   let isActive = false;
   const taken = new Promise<readonly schemas.Upstream[]>((resolve) => {
-    const watch = new platformPollers.PlatformPoller({
+    const poller = new platformPollers.PlatformPoller({
       url,
       availabilityZone: 'a',
       clock: new schemas.VirtualClock(),
@@ -20,11 +21,11 @@
       isActive: () => isActive,
       activeChanged,
       onUpstreams: (upstreams) => {
-        watch.stop();
+        poller.stop();
         resolve(upstreams);
       },
     });
-    void watch.run();
+    void poller.run();
   });
   isActive = true;
   activeChanged.notify();
--- a/packages/daemon/tests/pool-manager.test.ts
+++ b/packages/daemon/tests/pool-manager.test.ts
@@ -59,44 +59,54 @@
   };
 }
 
-void tap.default.test('a prompt goes where its prefix is cached, until a gap', async (t) => {
-  // Engines tell late what their caches hold. After a gap a prefix may have been dropped without a word,
-  // so the owner forgets what it knew of that engine; a wrong hint would cost one prefill.
-  const clock = new schemas.VirtualClock();
-  const caches = new Map<string, schemas.LoadReport['cache']>([
-    ['e2', { first: 0, events: [{ prefix: 'p', isStored: true }] }],
-  ]);
-  let at = 0;
-  const getJson = async ({ upstreamId }: schemas.Upstream): Promise<schemas.LoadReport> => {
-    at += 1;
-    const cache = caches.get(upstreamId);
-    caches.delete(upstreamId);
-    return createReport(at, cache);
-  };
-  const configuration = intents.createEmptyConfiguration();
-  configuration.declaration.teams.push({
-    name: 'sales',
-    weight: 1,
-    maxConcurrent: 100,
-    maxQueued: 100,
-  } as schemas.Team);
-  const host = new poolManagers.PoolManager({
-    cfg: schemas.daemonConfig.parse(settings),
-    view: { getDirectory: () => ({ upstreams: ['e1', 'e2', 'e3'].map(createUpstream) }) } as never,
-    store: { get: () => configuration } as never,
-    engines: { getJson } as never,
-    clock,
-    log: new schemas.SilentLog(),
-  });
-  void host.run();
-  t.match(await host.grant('m', createRequest('g1')), { upstreamId: 'e2', reason: 'prefix' });
-  caches.set('e2', { first: 9, events: [{ prefix: 'other', isStored: true }] });
-  await clock.advance(1_000);
-  t.match(await host.grant('m', createRequest('g2')), { reason: 'room' }, 'after the gap');
-  host.stop();
-});
+void tap.default.test(
+  'a prompt is routed to the engine that caches its prefix, until cache events are missed',
+  async (t) => {
+    // Engines report the contents of their caches with a delay. Events missed in a gap may include
+    // the removal of a prefix, so the owner drops all entries of that engine; a wrong entry would
+    // cost one prefill.
+    const clock = new schemas.VirtualClock();
+    const caches = new Map<string, schemas.LoadReport['cache']>([
+      ['e2', { first: 0, events: [{ prefix: 'p', isStored: true }] }],
+    ]);
+    let at = 0;
+    const getJson = async ({ upstreamId }: schemas.Upstream): Promise<schemas.LoadReport> => {
+      at += 1;
+      const cache = caches.get(upstreamId);
+      caches.delete(upstreamId);
+      return createReport(at, cache);
+    };
+    const configuration = intents.createEmptyConfiguration();
+    configuration.declaration.teams.push({
+      name: 'sales',
+      weight: 1,
+      maxConcurrent: 100,
+      maxQueued: 100,
+    } as schemas.Team);
+    const manager = new poolManagers.PoolManager({
+      cfg: schemas.daemonConfig.parse(settings),
+      view: {
+        getDirectory: () => ({ upstreams: ['e1', 'e2', 'e3'].map(createUpstream) }),
+      } as never,
+      store: { get: () => configuration } as never,
+      engines: { getJson } as never,
+      clock,
+      log: new schemas.SilentLog(),
+    });
+    void manager.run();
+    t.match(await manager.grant('m', createRequest('g1')), { upstreamId: 'e2', reason: 'prefix' });
+    caches.set('e2', { first: 9, events: [{ prefix: 'other', isStored: true }] });
+    await clock.advance(1_000);
+    t.match(
+      await manager.grant('m', createRequest('g2')),
+      { reason: 'room' },
+      'after missed events',
+    );
+    manager.stop();
+  },
+);
 
-void tap.default.test('metrics go out when a receiver is named, and only then', async (t) => {
+void tap.default.test('metrics are sent only when a receiver is configured', async (t) => {
   const receiver = dgram.createSocket('udp4');
   t.teardown(() => receiver.close());
   await new Promise<void>((resolve) => {
@@ -106,12 +116,12 @@
     receiver.once('message', (message) => resolve(message.toString('utf8')));
   });
   const { port } = receiver.address();
-  const off = new daemonMetrics.Metrics(schemas.daemonConfig.parse(settings));
-  off.count('requests');
-  const on = new daemonMetrics.Metrics(
+  const disabled = new daemonMetrics.Metrics(schemas.daemonConfig.parse(settings));
+  disabled.count('requests');
+  const enabled = new daemonMetrics.Metrics(
     schemas.daemonConfig.parse({ ...settings, statsd: { host: '127.0.0.1', port } }),
   );
-  on.count('requests', { outcome: 'complete' });
+  enabled.count('requests', { outcome: 'complete' });
   t.match(await got, /^bramleyridge\.requests:1\|c\|#.*outcome:complete/);
-  on.close();
+  enabled.close();
 });
--- a/packages/daemon/tests/shutdown.test.ts
+++ b/packages/daemon/tests/shutdown.test.ts
@@ -5,7 +5,7 @@
 
 const { sales } = deployments.TOKENS;
 
-void tap.default.test('planned stops and leaving upstreams cut nothing', async (t) => {
+void tap.default.test('planned stops and leaving upstreams interrupt no request', async (t) => {
   const deployment = new deployments.SmallDeployment(['a', 'b', 'c'], 2, 2);
   await deployment.start(t);
 
@@ -23,14 +23,18 @@
     const ready = await fetch(`${deployment.getUrl(3)}/readyz`);
     t2.equal(ready.status, 503, 'readiness fails at once');
     const late = callers.stream(deployment.getUrl(3), sales, 50);
-    const seen = await Promise.all(before);
-    t2.equal(seen.filter((item) => callers.isWhole(item, 400)).length, 12, 'none is cut');
-    t2.ok(callers.isWhole(await late, 50), 'nor the late one');
+    const received = await Promise.all(before);
+    t2.equal(
+      received.filter((item) => callers.isWhole(item, 400)).length,
+      12,
+      'no stream is interrupted',
+    );
+    t2.ok(callers.isWhole(await late, 50), 'the late request is served too');
     await stopped;
     await deployment.restartUntilReady(3);
   });
 
-  await t.test('the owner of a pool stops while requests wait and run', async (t2) => {
+  await t.test('the owner of a pool stops while requests are queued and running', async (t2) => {
     const owner = deployment.running[0]!.daemon.view.findOwner('drafter')!.daemonId;
     const index = deployment.running.findIndex((item) => item.cfg.daemonId === owner);
     const other = index === 0 ? 3 : 0;
@@ -39,14 +43,14 @@
     );
     deployment.running[index]!.isUp = false;
     const stopped = deployment.running[index]!.daemon.stop();
-    const seen = await Promise.all(streams);
-    t2.equal(seen.filter((item) => callers.isWhole(item, 300)).length, 10);
+    const received = await Promise.all(streams);
+    t2.equal(received.filter((item) => callers.isWhole(item, 300)).length, 10);
     await stopped;
     await deployment.restartUntilReady(index);
   });
 
   await t.test(
-    'the owner of a pool is killed: streams go on, new requests are served',
+    'the owner of a pool is killed: streams continue, new requests are served',
     async (t2) => {
       const owner = deployment.running[0]!.daemon.view.findOwner('drafter')!.daemonId;
       const index = deployment.running.findIndex((item) => item.cfg.daemonId === owner);
@@ -59,22 +63,22 @@
       deployment.kill(index);
       const next = await callers.stream(deployment.getUrl(other), sales, 60);
       t2.ok(callers.isWhole(next, 60), 'a new request');
-      t2.ok(callers.isWhole(await running, 400), 'the one that ran');
+      t2.ok(callers.isWhole(await running, 400), 'the running stream');
       await deployment.restartUntilReady(index);
     },
   );
 
-  await t.test('an upstream that leaves gets no new work, and finishes what it has', async (t2) => {
+  await t.test('a leaving upstream gets no new work and finishes its running work', async (t2) => {
     const [leaving, staying] = [deployment.engines[0]!, deployment.engines[1]!];
     const busy = Array.from({ length: 6 }, () => callers.stream(deployment.getUrl(0), sales, 500));
-    await deployment.waitUntil('work on it', () => !leaving.model.isIdle());
+    await deployment.waitUntil('work on the leaving engine', () => !leaving.model.isIdle());
     const upstreams = deployment.platform
       .get()
       .map((item) =>
         item.upstreamId === 'engine-a-1' ? { ...item, state: 'leaving' as const } : item,
       );
     deployment.platform.set(upstreams);
-    await deployment.waitUntil('the sign to be seen', () =>
+    await deployment.waitUntil('the leaving state at both daemons', () =>
       [0, 3].every((i) =>
         deployment.running[i]!.daemon.view.getDirectory().upstreams.some(
           (item) => item.upstreamId === 'engine-a-1' && item.state === 'leaving',
@@ -83,19 +87,23 @@
     );
     await deployments.pause(300);
     const before = leaving.record.size;
-    const seen = await Promise.all(
+    const received = await Promise.all(
       Array.from({ length: 8 }, (_, i) =>
         callers.stream(deployment.getUrl(i % 2 === 0 ? 0 : 3), sales, 20),
       ),
     );
     t2.equal(
-      seen.filter((item) => callers.isWhole(item, 20)).length,
+      received.filter((item) => callers.isWhole(item, 20)).length,
       8,
-      'new work is done elsewhere',
+      'new work runs on other engines',
     );
-    t2.equal(leaving.record.size, before, 'nothing new came to it');
+    t2.equal(leaving.record.size, before, 'it received no new work');
     t2.ok(staying.record.size > 0);
     const ended = await Promise.all(busy);
-    t2.equal(ended.filter((item) => callers.isWhole(item, 500)).length, 6, 'running work ended');
+    t2.equal(
+      ended.filter((item) => callers.isWhole(item, 500)).length,
+      6,
+      'its running work completed',
+    );
   });
 });
--- a/packages/daemon/tests/support/caller.ts
+++ b/packages/daemon/tests/support/caller.ts
@@ -1,6 +1,6 @@
 import * as fakes from '@bramleyridge/fakes';
 
-/** What a caller saw of one generation, over all its connections. */
+/** What a caller received of one generation, over all its connections. */
 export interface ReceivedStream {
   readonly status: number;
   readonly generation: string;
@@ -15,7 +15,7 @@
   readonly error?: { readonly outcome: string };
 }
 
-/** A body for the fakes' model that makes so many tokens. */
+/** Creates a request body that makes the fake engine generate the given number of tokens. */
 export function createBody(tokens: number, isStream = true): object {
   return {
     model: 'drafter',
@@ -26,7 +26,10 @@
   };
 }
 
-/** Asks for a streamed completion and reads it until its end, its loss, or `stopAfter` events. */
+/**
+ * Requests a streamed completion and reads it until it ends, is interrupted, or has sent
+ * `stopAfter` events.
+ */
 export async function stream(
   url: string,
   token: string,
@@ -43,7 +46,7 @@
     body: JSON.stringify(createBody(tokens)),
   });
   const generation = res.headers.get('bramleyridge-generation') ?? '';
-  const seen: ReceivedStream = {
+  const received: ReceivedStream = {
     status: res.status,
     generation,
     offsets: [],
@@ -51,40 +54,47 @@
     outcome: undefined,
   };
   if (res.status !== 200) {
-    seen.outcome = res.headers.get('bramleyridge-outcome') ?? undefined;
+    received.outcome = res.headers.get('bramleyridge-outcome') ?? undefined;
     await res.text();
-    return seen;
+    return received;
   }
-  await readEvents(res, seen, options.stopAfter, options.onEvent);
-  return seen;
+  await readEvents(res, received, options.stopAfter, options.onEvent);
+  return received;
 }
 
-/** Goes on with a generation at another daemon, behind what was already seen. */
-export async function resume(url: string, token: string, seen: ReceivedStream): Promise<number> {
-  const res = await fetch(`${url}/v1/generations/${seen.generation}/events`, {
+/** Resumes a generation at another daemon, after the last received event. */
+export async function resume(
+  url: string,
+  token: string,
+  received: ReceivedStream,
+): Promise<number> {
+  const res = await fetch(`${url}/v1/generations/${received.generation}/events`, {
     headers: {
       authorization: `Bearer ${token}`,
-      'last-event-id': `${seen.generation}:${seen.offsets.at(-1) ?? -1}`,
+      'last-event-id': `${received.generation}:${received.offsets.at(-1) ?? -1}`,
     },
   });
   if (res.status === 200) {
-    await readEvents(res, seen);
+    await readEvents(res, received);
   } else {
     await res.text();
   }
   return res.status;
 }
 
-/** Whether what was seen is every token once, in order, from the generation that it names. */
-export function isWhole(seen: ReceivedStream, tokens: number): boolean {
-  const isInOrder = seen.offsets.every((offset, i) => offset === i);
-  const isAll = seen.offsets.length === tokens + 1;
-  return isInOrder && isAll && seen.text === fakes.getText(seen.generation, tokens);
+/**
+ * Returns whether every token was received exactly once, in order, with the text of this
+ * generation.
+ */
+export function isWhole(received: ReceivedStream, tokens: number): boolean {
+  const isInOrder = received.offsets.every((offset, i) => offset === i);
+  const isComplete = received.offsets.length === tokens + 1;
+  return isInOrder && isComplete && received.text === fakes.getText(received.generation, tokens);
 }
 
 async function readEvents(
   res: Response,
-  seen: ReceivedStream,
+  received: ReceivedStream,
   stopAfter = Infinity,
   onEvent: (count: number) => void = () => {},
 ): Promise<void> {
@@ -96,30 +106,30 @@
       const events = pending.split('\n\n');
       pending = events.pop() ?? '';
       for (const event of events) {
-        take(event, seen);
-        onEvent(seen.offsets.length);
-        if (seen.offsets.length >= stopAfter) {
+        recordEvent(event, received);
+        onEvent(received.offsets.length);
+        if (received.offsets.length >= stopAfter) {
           await res.body?.cancel();
           return;
         }
       }
     }
   } catch {
-    // The connection was lost; what was seen stays.
+    // The connection was lost; the received events stay recorded.
   }
 }
 
-function take(event: string, seen: ReceivedStream): void {
-  const at = event.indexOf('data: ');
-  const data = at < 0 ? '[DONE]' : event.slice(at + 'data: '.length);
+function recordEvent(event: string, received: ReceivedStream): void {
+  const dataStart = event.indexOf('data: ');
+  const data = dataStart < 0 ? '[DONE]' : event.slice(dataStart + 'data: '.length);
   if (data === '[DONE]') {
     return;
   }
   const chunk = JSON.parse(data) as Chunk;
-  seen.outcome = chunk.bramleyridge?.outcome ?? chunk.error?.outcome ?? seen.outcome;
+  received.outcome = chunk.bramleyridge?.outcome ?? chunk.error?.outcome ?? received.outcome;
   const id = /^id: .*:(\d+)$/m.exec(event);
   if (id !== null) {
-    seen.offsets.push(Number(id[1]));
-    seen.text += chunk.choices?.[0]?.delta?.content ?? '';
+    received.offsets.push(Number(id[1]));
+    received.text += chunk.choices?.[0]?.delta?.content ?? '';
   }
 }
--- a/packages/daemon/tests/support/small-deployment.ts
+++ b/packages/daemon/tests/support/small-deployment.ts
@@ -7,10 +7,10 @@
 import * as fakes from '@bramleyridge/fakes';
 import * as schemas from '@bramleyridge/schemas';
 
-/** Tokens of the two teams and the operators. */
+/** Tokens of the two teams and of the operator. */
 export const TOKENS = { sales: 'token-sales', night: 'token-night', operator: 'token-operator' };
 
-/** Short times, so that failures are found while a test waits. */
+/** Short timings, so that failures are detected within the duration of a test. */
 const TIMINGS = {
   heartbeatMs: 200,
   suspectMs: 700,
@@ -29,10 +29,10 @@
   bodyBytes: 200_000,
 };
 
-/** How late the stand-in of the platform's list is, in milliseconds. */
+/** Delay of the fake platform's list, in milliseconds. */
 const LIST_LAG_MS = 100;
 
-/** How long a test waits for something that must come, in milliseconds. */
+/** Time within which an expected condition must become true, in milliseconds. */
 const WAIT_TIMEOUT_MS = 20_000;
 
 interface Teardown {
@@ -46,7 +46,10 @@
   isUp: boolean;
 }
 
-/** Daemons of three zones in this process, on real sockets, with stand-ins outside. */
+/**
+ * A deployment of daemons in this process on real sockets, with fake engines, services and
+ * platform.
+ */
 export class SmallDeployment {
   public readonly running: Running[] = [];
   public readonly engines: fakes.FakeEngine[] = [];
@@ -62,14 +65,14 @@
     private readonly enginesPerZone = 1,
   ) {}
 
-  /** Starts everything and puts the declaration of `createFiles` in force. */
+  /** Starts everything and applies the declaration of `createFiles`. */
   public async start(t: Teardown): Promise<void> {
     this.folder = fs.mkdtempSync(path.join(os.tmpdir(), 'bramleyridge-test-'));
     t.teardown(() => this.end());
     const platformUrl = await this.platform.listen();
     await this.startUpstreams();
-    // Upstreams are listed before any daemon starts. A daemon that is told that there are none takes that for true, and
-    // asks again a second later.
+    // Upstreams are listed before any daemon starts: a daemon that reads an empty list uses it, and
+    // polls again only a second later.
     await pause(LIST_LAG_MS);
     const keysFile = path.join(this.folder, 'keys.json');
     const key = crypto.randomBytes(32).toString('base64');
@@ -90,14 +93,14 @@
     }
     await Promise.all(this.running.map((item) => item.daemon.start()));
     await this.apply(this.createFiles());
-    await this.waitUntil('claim seats', () =>
+    await this.waitUntil('claim acceptors', () =>
       this.running.every((item) => item.daemon.store.get().claimSeats.length >= 3),
     );
-    // Callers are sent to daemons that say they are ready, and to no others.
+    // The balancer only sends callers to daemons that report readiness.
     await Promise.all(this.running.map((_, i) => this.waitReady(i)));
   }
 
-  /** A declaration for these zones. */
+  /** Creates a declaration for these zones. */
   public createFiles(change: Partial<schemas.Team> = {}): schemas.DeclarationFile[] {
     const zones = [...this.zones];
     const createTeam = (name: string, token: string): schemas.Team => ({
@@ -132,7 +135,7 @@
     ];
   }
 
-  /** Plans and confirms through any daemon that is up; gives the revision. */
+  /** Plans and confirms through any running daemon; resolves to the new revision. */
   public async apply(files: readonly schemas.DeclarationFile[]): Promise<number> {
     const planned = await this.callOperatorApi('/plans', { requestId: crypto.randomUUID(), files });
     const { plan } = planned.body as { plan: schemas.Plan };
@@ -146,7 +149,7 @@
     return revision;
   }
 
-  /** One call of the operators' API, tried until it is answered. */
+  /** Calls the operators' API, and retries until it is answered. */
   public async callOperatorApi(
     route: string,
     body?: object,
@@ -167,20 +170,20 @@
     }
   }
 
-  /** Where callers reach a daemon. */
+  /** Returns the base URL of a daemon for callers. */
   public getUrl(index: number): string {
     const { cfg } = this.running[index]!;
     return `http://${cfg.host}:${cfg.callerPort}`;
   }
 
-  /** Ends a daemon as a killed process. */
+  /** Stops a daemon like a killed process. */
   public kill(index: number): void {
     const item = this.running[index]!;
     item.isUp = false;
     item.daemon.kill();
   }
 
-  /** Starts a daemon again, with the disk that it had. */
+  /** Restarts a daemon with its previous disk. */
   public async restart(index: number): Promise<void> {
     const item = this.running[index]!;
     item.daemon = this.create(item.cfg);
@@ -188,13 +191,13 @@
     await item.daemon.start();
   }
 
-  /** Starts a daemon again and waits until the balancer would send callers to it. */
+  /** Restarts a daemon and waits until it reports readiness. */
   public async restartUntilReady(index: number): Promise<void> {
     await this.restart(index);
     await this.waitReady(index);
   }
 
-  /** Starts a voter again on an empty disk. */
+  /** Restarts a voter with an empty disk. */
   public async restartWithEmptyDisk(index: number): Promise<void> {
     fs.rmSync(this.running[index]!.cfg.dataFolder!, { recursive: true });
     await this.restart(index);
@@ -211,28 +214,28 @@
     });
   }
 
-  /** Mends every link. */
+  /** Restores all links. */
   public healPartitions(): void {
     this.running.forEach(({ daemon }) => daemon.simulatePartition(() => false, false));
   }
 
-  /** The index of the daemon that leads, or -1. */
+  /** Returns the index of the leader, or -1. */
   public findLeader(): number {
     return this.running.findIndex((item) => item.isUp && item.daemon.control.voter?.isLeader());
   }
 
-  /** Waits for something that must come. */
-  public async waitUntil(what: string, isThere: () => boolean | Promise<boolean>): Promise<void> {
+  /** Waits until a condition is true. */
+  public async waitUntil(what: string, isMet: () => boolean | Promise<boolean>): Promise<void> {
     const end = Date.now() + WAIT_TIMEOUT_MS;
-    while (!(await isThere())) {
+    while (!(await isMet())) {
       if (Date.now() > end) {
-        throw new Error(`waited in vain for ${what}`);
+        throw new Error(`timed out waiting for ${what}`);
       }
       await pause(20);
     }
   }
 
-  /** The engine or service whose record names a generation or booking. */
+  /** Returns the number of engines whose record contains a generation. */
   public countRuns(generation: string): number {
     return this.engines.filter((engine) => engine.record.has(generation)).length;
   }
@@ -316,7 +319,7 @@
   }
 }
 
-/** Waits. */
+/** Waits for the given time in milliseconds. */
 export function pause(ms: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, ms);
--- a/packages/daemon/tests/team-zones.test.ts
+++ b/packages/daemon/tests/team-zones.test.ts
@@ -7,7 +7,7 @@
 
 const { night, sales } = deployments.TOKENS;
 
-/** Sends headers that promise a body, and never the body; gives what comes back. */
+/** Sends headers that announce a body but never the body; resolves to the response. */
 function askWithoutBody(url: string, token: string): Promise<string> {
   const { hostname, port } = new URL(url);
   return new Promise((resolve) => {
@@ -26,28 +26,31 @@
   });
 }
 
-void tap.default.test('place outranks speed', async (t) => {
+void tap.default.test('a team is only served in its permitted zones', async (t) => {
   const deployment = new deployments.SmallDeployment(['a', 'b', 'c'], 2);
   await deployment.start(t);
 
-  await t.test('a body is not read where the team is not permitted', async (t2) => {
-    // The team may only be in zone a. A daemon of zone b answers from the headers alone, points to
-    // zone a, and closes the connection instead of taking the body in.
+  await t.test('the body is not read in a zone where the team is not permitted', async (t2) => {
+    // The team is only allowed in zone a. A daemon of zone b answers after the headers, redirects
+    // to zone a, and closes the connection without reading the body.
     const answer = await askWithoutBody(deployment.getUrl(1), night);
     t2.match(answer, /^HTTP\/1\.1 307 /);
     t2.match(answer, /bramleyridge-outcome: not-run/);
-    const entry = /location: (http:\/\/[^/]+)\//.exec(answer)?.[1];
-    t2.ok([deployment.getUrl(0), deployment.getUrl(3)].includes(entry ?? ''), `to ${entry}`);
+    const origin = /location: (http:\/\/[^/]+)\//.exec(answer)?.[1];
+    t2.ok(
+      [deployment.getUrl(0), deployment.getUrl(3)].includes(origin ?? ''),
+      `redirected to ${origin}`,
+    );
   });
 
-  await t.test('following the redirect gets the answer in the permitted zone', async (t2) => {
-    const seen = await callers.stream(deployment.getUrl(0), night, 12);
-    t2.ok(callers.isWhole(seen, 12));
-    t2.equal(deployment.engines[0]!.record.has(seen.generation), true);
+  await t.test('the redirect leads to a response from the permitted zone', async (t2) => {
+    const received = await callers.stream(deployment.getUrl(0), night, 12);
+    t2.ok(callers.isWhole(received, 12));
+    t2.equal(deployment.engines[0]!.record.has(received.generation), true);
   });
 
   await t.test(
-    'narrowing a cut-off zone: status says that it is not in force there',
+    'a change that excludes a cut-off zone is reported as not in force there',
     async (t2) => {
       deployment.isolateZone('b');
       const files = deployment
@@ -70,17 +73,17 @@
       }
       const read = async () =>
         (await deployment.callOperatorApi('/status', undefined, 0)).body as Status;
-      await deployment.waitUntil('a and c to have it, b not', async () => {
+      await deployment.waitUntil('the change in force in a and c only', async () => {
         const { zones } = await read();
         const inForce = zones.filter((zone) => zone.isInForce).map((zone) => zone.availabilityZone);
         return inForce.join() === 'a,c';
       });
       deployment.healPartitions();
-      await deployment.waitUntil('b to have it', async () =>
+      await deployment.waitUntil('the change in force in b', async () =>
         (await read()).zones.every((z) => z.isInForce),
       );
       const answer = await askWithoutBody(deployment.getUrl(1), sales);
-      t2.match(answer, /^HTTP\/1\.1 307 /, 'and then b refuses the team');
+      t2.match(answer, /^HTTP\/1\.1 307 /, 'b then redirects the team');
     },
   );
 });
