--- a/packages/daemon/src/choose-claim-acceptors.ts
+++ b/packages/daemon/src/choose-claim-acceptors.ts
@@ -3,7 +3,7 @@
 /** Number of claim acceptors when enough daemons are usable. */
 const MAX_ACCEPTORS = 5;
 
-/** Minimum number of claim acceptors: a majority of three remains after the loss of one. */
+/** Minimum number of claim acceptors; with fewer, no majority remains after the loss of one. */
 const MIN_ACCEPTORS = 3;
 
 /**
@@ -65,9 +65,9 @@
  * and calls with a key would be refused until an operator founds a new group.
  */
 export async function chooseNextClaimAcceptors(
-  facts: ClaimAcceptorInput,
+  input: ClaimAcceptorInput,
 ): Promise<string[] | undefined> {
-  const { holdsClaims, live, acceptors, allowed } = facts;
+  const { holdsClaims, live, acceptors, allowed } = input;
   const chosen = chooseClaimAcceptors(acceptors, live, allowed);
   if (chosen === undefined) {
     return undefined;
--- a/packages/daemon/src/leader-tasks.ts
+++ b/packages/daemon/src/leader-tasks.ts
@@ -277,9 +277,9 @@
   /** Lists the live daemons that are named in the settings, which every other daemon can find. */
   private listLive(): schemas.Beat[] {
     const { cfg } = this.options;
-    const known = new Set([cfg.daemonId, ...cfg.peers.map((peer) => peer.daemonId)]);
+    const configured = new Set([cfg.daemonId, ...cfg.peers.map((peer) => peer.daemonId)]);
     const live = this.zones.list().flatMap((zone) => zone.hosts);
-    return live.filter((host) => known.has(host.daemonId));
+    return live.filter((host) => configured.has(host.daemonId));
   }
 
   private async proposeClaimAcceptors(holders: string[], isFounding: boolean): Promise<void> {
--- a/packages/daemon/src/peer-router.ts
+++ b/packages/daemon/src/peer-router.ts
@@ -71,7 +71,7 @@
   status(): Promise<schemas.StatusReport>;
   changeVoters(change: VoterChange): Promise<void>;
   refoundClaims(): Promise<void>;
-  grant(ask: z.infer<typeof grantInput>): Promise<GrantResult>;
+  grant(input: z.infer<typeof grantInput>): Promise<GrantResult>;
   pool(report: PoolReport): Promise<void>;
   claim(req: requests.ClaimReq): Promise<requests.ClaimRes>;
   recover(req: requests.RecoverReq): Promise<requests.RecoverRes>;
