--- a/packages/daemon/src/caller-api.ts
+++ b/packages/daemon/src/caller-api.ts
@@ -5,28 +5,28 @@
 import * as schemas from '@bramleyridge/schemas';
 import type * as polka from 'polka';
 
-import * as completionFlows from './completion-flow.js';
-import type * as parts from './parts.js';
-import * as relayFlows from './relay-flow.js';
-import * as resumeFlows from './resume-flow.js';
-import * as serviceFlows from './service-flow.js';
+import * as completionHandlers from './completion-handler.js';
+import * as generationRelays from './generation-relay.js';
+import type * as handlerContexts from './handler-context.js';
+import * as resumeHandlers from './resume-handler.js';
+import * as serviceCallHandlers from './service-call-handler.js';
 
 type Handler = (req: requests.ApiRequest, res: http.ServerResponse) => Promise<void>;
 
-/** What callers and the balancer reach over HTTP. */
+/** The HTTP API for callers and for the balancer's health checks. */
 export class CallerApi {
-  private readonly completions: completionFlows.CompletionFlow;
-  private readonly resumes: resumeFlows.ResumeFlow;
-  private readonly services: serviceFlows.ServiceFlow;
+  private readonly completions: completionHandlers.CompletionHandler;
+  private readonly resumes: resumeHandlers.ResumeHandler;
+  private readonly services: serviceCallHandlers.ServiceCallHandler;
 
-  public constructor(private readonly parts: parts.Parts) {
-    const relays = new relayFlows.RelayFlow(parts);
-    this.completions = new completionFlows.CompletionFlow(parts, relays);
-    this.resumes = new resumeFlows.ResumeFlow(parts, relays);
-    this.services = new serviceFlows.ServiceFlow(parts);
+  public constructor(private readonly context: handlerContexts.HandlerContext) {
+    const relays = new generationRelays.GenerationRelay(context);
+    this.completions = new completionHandlers.CompletionHandler(context, relays);
+    this.resumes = new resumeHandlers.ResumeHandler(context, relays);
+    this.services = new serviceCallHandlers.ServiceCallHandler(context);
   }
 
-  /** Adds the routes. */
+  /** Registers the routes. */
   public addTo(app: polka.Polka): void {
     const { completions, resumes } = this;
     ['/v1/completions', '/v1/chat/completions'].forEach((path) => {
@@ -51,14 +51,14 @@
     app.get('/readyz', (_req, res) => this.showReady(res));
   }
 
-  /** Counts a request while it runs and turns what it throws into one answer. */
+  /** Counts the request as active while it runs, and converts a thrown error into one refusal. */
   private serve(handle: Handler): polka.Middleware {
     return (request, res) => {
       const req = request as unknown as requests.ApiRequest;
-      const leave = this.parts.drain.enter();
-      // Without this a client that vanishes in the wrong moment would end the process.
+      const leave = this.context.drain.enter();
+      // An 'error' event without a listener, as after a client reset, would terminate the process.
       res.on('error', () => {});
-      if (this.parts.drain.isDraining()) {
+      if (this.context.drain.isDraining()) {
         res.setHeader('connection', 'close');
       }
       void handle(req, res)
@@ -71,8 +71,8 @@
 
   private refuse(req: http.IncomingMessage, res: http.ServerResponse, err: unknown): void {
     const refusal = requests.toRefusal(err);
-    this.parts.metrics.count('refusals', { reason: refusal.id });
-    this.parts.log.info({
+    this.context.metrics.count('refusals', { reason: refusal.id });
+    this.context.log.info({
       decision: 'refuse',
       reason: refusal.id,
       outcome: refusal.options.outcome,
@@ -88,8 +88,8 @@
   }
 
   private listModels(req: http.IncomingMessage, res: http.ServerResponse): void {
-    const team = this.parts.access.authenticate(req);
-    const { intents } = this.parts.store.get().declaration;
+    const team = this.context.access.authenticate(req);
+    const { intents } = this.context.store.get().declaration;
     const models = new Set(
       intents.filter((intent) => intent.teams.includes(team.name)).map((intent) => intent.model),
     );
@@ -109,7 +109,7 @@
   }
 
   private showReady(res: http.ServerResponse): void {
-    const { drain, store, view } = this.parts;
+    const { drain, store, view } = this.context;
     const isReady = store.isReady() && view.hasUpstreamList() && !drain.isDraining();
     requests.sendJson(res, isReady ? 200 : 503, {
       isReady,
@@ -120,7 +120,7 @@
   }
 }
 
-/** Answers a request that no route takes. */
+/** Refuses a request that matches no route. */
 export function refuseRoute(req: http.IncomingMessage, res: http.ServerResponse): void {
   const refusal: schemasTypes.Refusal = new schemas.Refusal({
     id: 'noRoute',
--- a/packages/daemon/src/caller-stream.ts
+++ b/packages/daemon/src/caller-stream.ts
@@ -3,10 +3,10 @@
 import type * as requests from '@bramleyridge/requests';
 import * as schemas from '@bramleyridge/schemas';
 
-/** How often a caller that waits is sent a comment, in milliseconds. */
-const COMMENT_MS = 5_000;
+/** Interval between the keep-alive comments of an open stream, in milliseconds. */
+const KEEP_ALIVE_INTERVAL_MS = 5_000;
 
-/** What a stream to a caller needs. */
+/** Dependencies and limits of a stream to a caller. */
 export interface CallerStreamOptions {
   readonly generation: string;
   readonly model: string;
@@ -16,7 +16,7 @@
 /** Writes a generation to a caller as server-sent events. */
 export class CallerStream {
   private isOpen = true;
-  private readonly comments: NodeJS.Timeout;
+  private readonly keepAliveTimer: NodeJS.Timeout;
 
   public constructor(
     private readonly res: http.ServerResponse,
@@ -30,20 +30,22 @@
     res.flushHeaders();
     res.on('close', () => {
       this.isOpen = false;
-      clearInterval(this.comments);
+      clearInterval(this.keepAliveTimer);
     });
-    // A caller behind a middlebox that forgot the connection is found by what it does not take any more.
-    this.comments = setInterval(() => res.write(': alive\n\n'), COMMENT_MS);
+    // A middlebox may drop the state of an idle connection without closing it. The comments make
+    // the socket fail then, so that the lost caller is detected.
+    this.keepAliveTimer = setInterval(() => res.write(': alive\n\n'), KEEP_ALIVE_INTERVAL_MS);
   }
 
-  /** Whether the caller is still there. */
+  /** Returns whether the caller is still connected. */
   public isConnected(): boolean {
     return this.isOpen;
   }
 
   /**
-   * Writes events and waits while the caller is slow. What waits is bounded by the socket's own buffer and
-   * one chunk, since nothing is read from the engine meanwhile.
+   * Writes events and waits while the caller reads slowly. The buffered data is bounded by the
+   * socket buffer and one chunk, since nothing is read from the engine during the wait. A caller
+   * that does not read within the grace period is disconnected.
    */
   public async write(bytes: Buffer): Promise<void> {
     if (this.res.write(bytes) || !this.isOpen) {
@@ -52,13 +54,15 @@
     await this.waitForDrain();
   }
 
-  /** Writes the last event and ends. */
+  /** Writes the final event and ends the response. */
   public end(end: requests.RelayEnd): void {
-    clearInterval(this.comments);
+    clearInterval(this.keepAliveTimer);
     if (!this.isOpen) {
       return;
     }
-    this.res.end(end.outcome === 'complete' ? this.createLast(end) : this.createBroken(end));
+    this.res.end(
+      end.outcome === 'complete' ? this.createFinalEvent(end) : this.createInterruptedEvent(end),
+    );
   }
 
   private waitForDrain(): Promise<void> {
@@ -78,7 +82,7 @@
     });
   }
 
-  private createLast(end: requests.RelayEnd): string {
+  private createFinalEvent(end: requests.RelayEnd): string {
     const data = {
       id: this.options.generation,
       object: 'chat.completion.chunk',
@@ -90,7 +94,7 @@
     return `data: ${JSON.stringify(data)}\n\ndata: [DONE]\n\n`;
   }
 
-  private createBroken(end: requests.RelayEnd): string {
+  private createInterruptedEvent(end: requests.RelayEnd): string {
     const refusal = new schemas.Refusal({
       id: 'generationGone',
       step: 'relay',
--- a/packages/daemon/src/claim-desk.ts
+++ b/packages/daemon/src/claim-service.ts
@@ -4,23 +4,23 @@
 
 import type * as peerMeshes from './peer-mesh.js';
 
-/** How long the owner of a claimed call is asked to wait for its end in one go, in milliseconds. */
-const OUTCOME_SLICE_MS = 2_000;
+/** Time for which one request waits for the end of a claimed call at its owner, in milliseconds. */
+const OUTCOME_WAIT_MS = 2_000;
 
-/** How often a claimed call's owner is asked before it counts as lost. */
-const MAX_ASKS = 3;
+/** Number of failed requests to the owner of a claimed call after which the call counts as lost. */
+const MAX_OUTCOME_FAILURES = 3;
 
-/** How often expired claims are dropped, in milliseconds. */
-const EXPIRE_MS = 30_000;
+/** Longest interval between two removals of expired claims, in milliseconds. */
+const EXPIRY_INTERVAL_MS = 30_000;
 
-/** Who claimed a key, and how the call stands as far as can be known. */
-export interface Claimed {
+/** The claim of a key, and the state of the claimed call as far as it can be determined. */
+export interface ClaimedCall {
   readonly value: requests.ClaimValue;
   readonly state: requests.CallState;
 }
 
-/** What the desk needs. */
-export interface ClaimDeskOptions {
+/** Dependencies of the claim service. */
+export interface ClaimServiceOptions {
   readonly cfg: schemas.DaemonConfig;
   readonly incarnation: number;
   readonly clock: schemas.Clock;
@@ -31,24 +31,26 @@
   readonly random: () => number;
 }
 
-/** Where a daemon claims calls, and asks who holds a claim. */
-export class ClaimDesk {
-  public readonly seat: requests.ClaimAcceptor;
+/**
+ * Claims calls for this daemon, runs its claim acceptor, and looks up the state of claimed calls.
+ */
+export class ClaimService {
+  public readonly acceptor: requests.ClaimAcceptor;
   private readonly proposer: requests.ClaimProposer;
   private isStopped = false;
 
-  public constructor(private readonly options: ClaimDeskOptions) {
+  public constructor(private readonly options: ClaimServiceOptions) {
     const { cfg, clock, incarnation, log, mesh, random, store } = options;
     const context = { deadlineMs: cfg.timings.claimDeadlineMs };
     const transport: requests.ClaimTransport = {
       claim: async (daemonId, req) =>
         daemonId === cfg.daemonId
-          ? this.seat.handleClaim(req)
+          ? this.acceptor.handleClaim(req)
           : mesh.get(daemonId).claim.mutate(req, { context }),
       recover: (daemonId, req) => mesh.get(daemonId).recover.mutate(req, { context }),
     };
     const { daemonId } = cfg;
-    this.seat = new requests.ClaimAcceptor({ daemonId, incarnation, clock, log, transport });
+    this.acceptor = new requests.ClaimAcceptor({ daemonId, incarnation, clock, log, transport });
     this.proposer = new requests.ClaimProposer({
       daemonId: `${daemonId}@${incarnation}`,
       transport,
@@ -58,29 +60,32 @@
     });
   }
 
-  /** Follows the seats in force, and drops expired claims, until stopped. */
+  /** Applies changes of the claim acceptors and removes expired claims, until stopped. */
   public async run(): Promise<void> {
     const { clock, store } = this.options;
     while (!this.isStopped) {
       const { claimSeats, claimFounders } = store.get();
-      this.seat.configure(claimSeats, claimFounders);
-      this.seat.expire();
-      await store.changed.wait(clock, EXPIRE_MS);
+      this.acceptor.configure(claimSeats, claimFounders);
+      this.acceptor.expire();
+      await store.changed.wait(clock, EXPIRY_INTERVAL_MS);
     }
   }
 
-  /** Ends the task. */
+  /** Stops the task. */
   public stop(): void {
     this.isStopped = true;
     this.options.store.changed.notify();
   }
 
-  /** The key of a team's call; only its digest ever leaves this daemon. */
+  /**
+   * Returns the claim key of a team's call; only this digest leaves the daemon, never the caller's
+   * key.
+   */
   public createKey(team: string, key: string, attempt: number): string {
     return schemas.getSha256(`${team}\n${key}\n${attempt}`).slice(0, 40);
   }
 
-  /** Claims a key for a call of this daemon; whoever holds it is given back. */
+  /** Claims a key for a call of this daemon; resolves to the claim that holds the key. */
   public claim(
     key: string,
     call: string,
@@ -100,8 +105,11 @@
     });
   }
 
-  /** Who holds a key and how the call stands; nothing when nobody holds it. */
-  public async find(key: string, requestHash: string): Promise<Claimed | undefined> {
+  /**
+   * Resolves to the claim that holds a key and the state of its call; undefined when the key is
+   * free.
+   */
+  public async find(key: string, requestHash: string): Promise<ClaimedCall | undefined> {
     const value = await this.proposer.find(key);
     if (value === undefined) {
       return undefined;
@@ -115,31 +123,31 @@
         param: 'idempotency-key',
       });
     }
-    return { value, state: await this.askOwner(value) };
+    return { value, state: await this.fetchCallState(value) };
   }
 
-  /** Asks the daemon that claimed a call how it stands, until it has begun. */
-  private async askOwner(value: requests.ClaimValue): Promise<requests.CallState> {
+  /** Requests the state of a claimed call from its owner until the call is no longer `running`. */
+  private async fetchCallState(value: requests.ClaimValue): Promise<requests.CallState> {
     const { cfg, calls, clock, incarnation, mesh } = this.options;
-    const ask = { call: value.call, waitMs: OUTCOME_SLICE_MS };
-    const context = { deadlineMs: OUTCOME_SLICE_MS + cfg.timings.peerDeadlineMs };
+    const outcomeReq = { call: value.call, waitMs: OUTCOME_WAIT_MS };
+    const context = { deadlineMs: OUTCOME_WAIT_MS + cfg.timings.peerDeadlineMs };
     if (value.daemonId === cfg.daemonId) {
-      const isOurs = value.incarnation === incarnation;
-      return isOurs ? calls.await(value.call, cfg.limits.queueMs) : { state: 'lost' };
+      const isSameProcess = value.incarnation === incarnation;
+      return isSameProcess ? calls.await(value.call, cfg.limits.queueMs) : { state: 'lost' };
     }
     let failures = 0;
-    while (failures < MAX_ASKS) {
+    while (failures < MAX_OUTCOME_FAILURES) {
       try {
         const answer: unknown = await mesh
           .getAt(value.daemonId, value)
-          .outcome.mutate(ask, { context });
+          .outcome.mutate(outcomeReq, { context });
         const state = requests.callState.parse(answer);
         if (state.state !== 'running') {
           return state;
         }
       } catch {
         failures += 1;
-        await clock.sleep(OUTCOME_SLICE_MS / 20);
+        await clock.sleep(OUTCOME_WAIT_MS / 20);
       }
     }
     return { state: 'lost' };
--- a/packages/daemon/src/completion-body.ts
+++ b/packages/daemon/src/completion-body.ts
@@ -1,21 +1,21 @@
 import * as schemas from '@bramleyridge/schemas';
 import * as z from 'zod';
 
-/** Characters that one token stands for, when nothing better is known. */
+/** Assumed characters per token, since nothing more precise is known about the prompt. */
 const CHARS_PER_TOKEN = 4;
 
-/** The most output tokens assumed when the caller sets no limit. */
+/** Assumed maximum of output tokens when the caller sets no limit. */
 const DEFAULT_MAX_TOKENS = 32_768;
 
-/** Requests that ask for at most so many tokens count as interactive unless they say otherwise. */
-const INTERACTIVE_TOKENS = 256;
+/** Token limit up to which a request counts as interactive when it names no class. */
+const MAX_INTERACTIVE_TOKENS = 256;
 
-/** How much of a prompt is taken for its prefix, in characters. */
+/** Length of the prompt prefix that is hashed for cache affinity, in characters. */
 const PREFIX_CHARS = 512;
 
 const message = z.looseObject({ role: z.string(), content: z.unknown() });
 
-/** The body of a completion; what is not named here is passed on as it is. */
+/** The schema of a completion request; other fields are passed through unchanged. */
 export const completionBody = z
   .looseObject({
     model: z.string().min(1).max(128),
@@ -27,27 +27,30 @@
   })
   .refine((body) => body.prompt !== undefined || body.messages !== undefined, {
     path: ['messages'],
-    message: 'a prompt or messages are needed',
+    message: 'a prompt or messages are required',
   });
 
-/** The body of a completion. */
+/** The body of a completion request. */
 export type CompletionBody = z.infer<typeof completionBody>;
 
-/** What routing needs to know of a body. */
-export interface Measured {
+/** The properties of a request that routing uses. */
+export interface RequestEstimate {
   readonly promptTokens: number;
   readonly maxTokens: number;
   readonly prefix: string;
   readonly workClass: 'interactive' | 'batch';
 }
 
-/** Measures a body; the prompt itself goes no further than this. */
-export function measureBody(body: CompletionBody, wantedClass: string | undefined): Measured {
+/** Estimates the size and class of a request; routing receives the result and never the prompt. */
+export function estimateRequest(
+  body: CompletionBody,
+  wantedClass: string | undefined,
+): RequestEstimate {
   const prompt = body.prompt ?? JSON.stringify(body.messages);
   const limit = body.max_completion_tokens ?? body.max_tokens;
   const isInteractive =
     wantedClass === undefined
-      ? (limit ?? Infinity) <= INTERACTIVE_TOKENS
+      ? (limit ?? Infinity) <= MAX_INTERACTIVE_TOKENS
       : wantedClass === 'interactive';
   const prefix = prompt.length < PREFIX_CHARS ? '' : prompt.slice(0, PREFIX_CHARS);
   return {
@@ -58,11 +61,13 @@
   };
 }
 
-/** The body as the engine gets it: always streamed, with the version, the priority and the prefix set. */
+/**
+ * Serializes the body for the engine: always streamed, with the version, priority and prefix set.
+ */
 export function createEngineBody(
   body: CompletionBody,
   version: string,
-  { prefix, workClass }: Measured,
+  { prefix, workClass }: RequestEstimate,
 ): string {
   return JSON.stringify({
     ...body,
--- a/packages/daemon/src/decision-log.ts
+++ b/packages/daemon/src/decision-log.ts
@@ -1,9 +1,9 @@
 import type * as schemas from '@bramleyridge/schemas';
 
-/** How many decisions are kept for `explain`. */
-const MAX_KEPT = 5_000;
+/** Number of decisions kept for `explain`; older ones are removed when twice as many are stored. */
+const MAX_DECISIONS = 5_000;
 
-/** One decision with its reason and figures; never prompt or answer text. */
+/** One decision with its reason and figures; never contains prompt or response text. */
 export interface Decision {
   readonly decision: string;
   readonly request: string;
@@ -14,24 +14,24 @@
   readonly [figure: string]: string | number | boolean | undefined;
 }
 
-/** Writes a log line for each decision and keeps the last ones for operators who ask. */
+/** Writes a log line for each decision and keeps the most recent ones for operators. */
 export class DecisionLog {
-  private kept: (Decision & { readonly at: string })[] = [];
+  private recent: (Decision & { readonly at: string })[] = [];
 
   public constructor(private readonly log: schemas.Log) {}
 
-  /** Notes a decision. */
-  public note(decision: Decision): void {
+  /** Logs and stores a decision. */
+  public record(decision: Decision): void {
     this.log.info(decision);
-    this.kept.push({ ...decision, at: new Date().toISOString() });
-    if (this.kept.length > 2 * MAX_KEPT) {
-      this.kept = this.kept.slice(-MAX_KEPT);
+    this.recent.push({ ...decision, at: new Date().toISOString() });
+    if (this.recent.length > 2 * MAX_DECISIONS) {
+      this.recent = this.recent.slice(-MAX_DECISIONS);
     }
   }
 
-  /** The decisions on one request, oldest first. */
+  /** Returns the decisions on one request, oldest first. */
   public explain(request: string): (Decision & { readonly at: string })[] {
-    return this.kept.filter(
+    return this.recent.filter(
       (item) => item.request === request || request.startsWith(`${item.request}.`),
     );
   }
--- a/packages/daemon/src/relay-flow.ts
+++ b/packages/daemon/src/generation-relay.ts
@@ -5,9 +5,9 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import * as callerStreams from './caller-stream.js';
-import type * as parts from './parts.js';
+import type * as handlerContexts from './handler-context.js';
 
-/** A generation that is to be passed on to a caller. */
+/** A generation to be relayed to a caller. */
 export interface RelayTask {
   readonly call: string;
   readonly generation: string;
@@ -16,17 +16,20 @@
   readonly upstream: schemas.Upstream;
   readonly from: number;
   readonly body: stream.Readable | undefined;
-  /** Whether this daemon answers for the generation, and stops it when its caller is gone for good. */
+  /**
+   * Whether this daemon cancels the generation when its caller does not return within the grace
+   * period.
+   */
   readonly mayCancel: boolean;
 }
 
-/** Passes generations on, and decides what becomes of one whose caller is gone. */
-export class RelayFlow {
-  public constructor(private readonly parts: parts.Parts) {}
+/** Relays generations to callers, and cancels or leaves running those whose caller disconnected. */
+export class GenerationRelay {
+  public constructor(private readonly context: handlerContexts.HandlerContext) {}
 
   /** Streams a generation to a caller. */
   public async stream(task: RelayTask, res: http.ServerResponse): Promise<requests.RelayEnd> {
-    const { cfg } = this.parts;
+    const { cfg } = this.context;
     const { generation, model } = task;
     const caller = new callerStreams.CallerStream(res, { generation, model, limits: cfg.limits });
     return this.run(
@@ -37,7 +40,7 @@
     );
   }
 
-  /** Collects a generation for a caller that wants it whole. */
+  /** Passes the events of a generation to `add`, for a caller that did not ask for a stream. */
   public async collect(
     task: RelayTask,
     res: http.ServerResponse,
@@ -57,8 +60,8 @@
     isConnected: () => boolean,
     close: (end: requests.RelayEnd) => void,
   ): Promise<requests.RelayEnd> {
-    const { adoptions, cfg, clock, engines, grants, log } = this.parts;
-    adoptions.open(task.generation, isConnected);
+    const { adoptions, cfg, clock, engines, poolClient, log } = this.context;
+    adoptions.register(task.generation, isConnected);
     const relay = requests.relayGeneration(
       {
         engines,
@@ -68,7 +71,7 @@
         silenceMs: cfg.limits.upstreamSilenceMs,
         clock,
         log,
-        onProgress: (next) => grants.progress(task.call, next),
+        onProgress: (next) => poolClient.recordProgress(task.call, next),
       },
       task.body,
     );
@@ -76,15 +79,15 @@
       const end = await this.pump(relay, write, isConnected);
       if (end !== undefined) {
         close(end);
-        grants.finish(task.call, end.outcome === 'complete');
-        this.note(task, end);
+        poolClient.release(task.call, end.outcome === 'complete');
+        this.recordOutcome(task, end);
         return end;
       }
       await relay.return({ outcome: 'incomplete', next: 0 });
-      return await this.leaveAlone(task);
+      return await this.awaitAdoption(task);
     } finally {
-      adoptions.close(task.generation);
-      grants.finish(task.call, false);
+      adoptions.remove(task.generation);
+      poolClient.release(task.call, false);
     }
   }
 
@@ -106,20 +109,21 @@
   }
 
   /**
-   * The caller is gone. It may come back through any daemon within the grace, and then that daemon goes on
-   * with the generation; if nobody comes the engine is told to stop, so that it does not fill its memory
-   * for nobody.
+   * Handles the disconnect of the caller. Within the grace period the caller may resume the
+   * generation through any daemon, which then adopts it. Otherwise the generation is cancelled, so
+   * that the engine does not spend memory on output that nobody receives.
    */
-  private async leaveAlone(task: RelayTask): Promise<requests.RelayEnd> {
-    const { adoptions, cfg, clock, engines, log } = this.parts;
+  private async awaitAdoption(task: RelayTask): Promise<requests.RelayEnd> {
+    const { adoptions, cfg, clock, engines, log } = this.context;
     const { generation, upstream } = task;
     const graceMs = cfg.limits.callerGraceMs;
-    const isAdopted = !task.mayCancel || (await adoptions.waitAdopted(generation, clock, graceMs));
+    const isAdopted =
+      !task.mayCancel || (await adoptions.waitForAdoption(generation, clock, graceMs));
     const end: requests.RelayEnd = { outcome: 'incomplete', next: 0 };
     if (isAdopted) {
       return end;
     }
-    this.note(task, end);
+    this.recordOutcome(task, end);
     try {
       await engines.cancel(upstream, generation);
     } catch (err) {
@@ -128,10 +132,10 @@
     return end;
   }
 
-  private note(task: RelayTask, end: requests.RelayEnd): void {
-    const { cfg, decisions, metrics } = this.parts;
+  private recordOutcome(task: RelayTask, end: requests.RelayEnd): void {
+    const { cfg, decisions, metrics } = this.context;
     metrics.count('requests', { outcome: end.outcome, team: task.team });
-    decisions.note({
+    decisions.record({
       decision: 'outcome',
       request: task.generation,
       team: task.team,
