--- a/packages/fakes/src/engine-model.ts
+++ b/packages/fakes/src/engine-model.ts
@@ -1,20 +1,20 @@
-/** What an engine is like; the defaults are those of a mid-sized model on one accelerator. */
+/** Capacity and step costs of an engine; the defaults are those of a mid-sized model on one accelerator. */
 export interface EngineShape {
-  /** Memory for prompts and outputs, in tokens. */
+  /** KV-cache memory for prompts and outputs, in tokens. */
   readonly tokensTotal: number;
   readonly blockTokens: number;
   readonly maxBatch: number;
-  /** Prompt tokens that one step can take in. */
+  /** Maximum number of prompt tokens that one step prefills. */
   readonly prefillPerStep: number;
   readonly baseStepMs: number;
   readonly stepMsPerSequence: number;
   readonly stepMsPerThousandContext: number;
   readonly stepMsPerThousandPrefill: number;
-  /** Memory that may hold prefixes nobody uses, in tokens. */
+  /** Maximum memory for cached prefixes that no running sequence uses, in tokens. */
   readonly cacheTokens: number;
 }
 
-/** An engine of the size that the traces are made for. */
+/** The engine size for which the traces are generated. */
 export const DEFAULT_SHAPE: EngineShape = {
   tokensTotal: 65_536,
   blockTokens: 16,
@@ -27,12 +27,12 @@
   cacheTokens: 8_192,
 };
 
-/** Work for the engine; its true length is known to nobody else. */
+/** One generation to run. Only the engine has its actual output length. */
 export interface EngineJob {
   readonly id: string;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Smaller is more urgent. */
+  /** Jobs with smaller values run first. */
   readonly priority: number;
   readonly prefix: string;
   readonly prefixTokens: number;
@@ -45,46 +45,46 @@
   readonly job: EngineJob;
   readonly order: number;
   produced: number;
-  /** Tokens whose state is in memory. */
+  /** Tokens whose KV cache is in memory. */
   held: number;
-  /** Tokens that must be taken in before the next is produced. */
+  /** Tokens to prefill before the next token is produced. */
   toPrefill: number;
   isRunning: boolean;
 }
 
-/** A step's work, for whoever moves time. */
+/** One step of the engine, to be run by the caller that advances time. */
 export interface EngineStep {
   readonly durationMs: number;
-  /** Delivers the step's tokens; to be called when its time is over. */
+  /** Delivers the step's tokens; call it after `durationMs`. */
   readonly finish: () => void;
 }
 
-/** A model of an engine that batches continuously, without time of its own. */
+/** Model of an engine with continuous batching; it has no clock of its own. */
 export class EngineModel {
-  /** Told of each prefix that is stored or dropped. */
+  /** Called for each prefix that is stored in the cache or evicted from it. */
   public onCacheChange: (prefix: string, isStored: boolean) => void = () => {};
   public preemptions = 0;
   public produced = 0;
   public readonly shape: EngineShape;
-  /** In order of urgency. */
+  /** Sorted by priority, then by order of submission. */
   private running: Sequence[] = [];
-  private used = 0;
-  private cached = 0;
+  private usedTokens = 0;
+  private cachedTokens = 0;
   private waiting: Sequence[] = [];
   private readonly cache = new Map<string, number>();
-  private order = 0;
-  private speed = 1;
+  private lastOrder = 0;
+  private slowdownFactor = 1;
 
   public constructor(shape: Partial<EngineShape> = {}) {
     this.shape = { ...DEFAULT_SHAPE, ...shape };
   }
 
-  /** Takes in a job. */
+  /** Adds a job to the queue. */
   public submit(job: EngineJob): void {
-    this.order += 1;
+    this.lastOrder += 1;
     this.enqueue({
       job,
-      order: this.order,
+      order: this.lastOrder,
       produced: 0,
       held: 0,
       toPrefill: job.promptTokens,
@@ -92,42 +92,42 @@
     });
   }
 
-  /** Takes a job out; false when it is not there. */
+  /** Removes a job; returns false when there is no such job. */
   public cancel(id: string): boolean {
     const running = this.running.find((item) => item.job.id === id);
     if (running !== undefined) {
-      this.leave(running);
+      this.stopRunning(running);
       return true;
     }
-    const before = this.waiting.length;
+    const previousLength = this.waiting.length;
     this.waiting = this.waiting.filter((item) => item.job.id !== id);
-    return this.waiting.length < before;
+    return this.waiting.length < previousLength;
   }
 
-  /** Makes every step slower, as a throttled accelerator does. */
+  /** Multiplies the duration of every step, as on a throttled accelerator. */
   public slowDown(factor: number): void {
-    this.speed = factor;
+    this.slowdownFactor = factor;
   }
 
-  /** Whether there is nothing to do. */
+  /** Returns whether no job is running or waiting. */
   public isIdle(): boolean {
     return this.running.length + this.waiting.length === 0;
   }
 
-  /** Memory in use, in tokens, whole blocks. */
+  /** Returns the memory in use in tokens, rounded up to whole blocks for each sequence. */
   public getUsed(): number {
-    return this.used;
+    return this.usedTokens;
   }
 
-  /** Counts for the load report. */
+  /** Returns the numbers of running and waiting jobs for the load report. */
   public getCounts(): { running: number; waiting: number } {
     return { running: this.running.length, waiting: this.waiting.length };
   }
 
-  /** Plans the next step: admits, prefills, preempts when memory is full. */
+  /** Prepares the next step: admits and prefills jobs, and preempts others when memory is full. */
   public step(): EngineStep {
     this.admit();
-    let prefillLeft = this.shape.prefillPerStep;
+    let prefillBudget = this.shape.prefillPerStep;
     let prefilled = 0;
     const producing: Sequence[] = [];
     for (const sequence of [...this.running]) {
@@ -135,31 +135,31 @@
         continue;
       }
       if (sequence.toPrefill > 0) {
-        const part = Math.min(prefillLeft, sequence.toPrefill);
-        sequence.toPrefill -= part;
-        prefillLeft -= part;
-        prefilled += part;
+        const chunk = Math.min(prefillBudget, sequence.toPrefill);
+        sequence.toPrefill -= chunk;
+        prefillBudget -= chunk;
+        prefilled += chunk;
         if (sequence.toPrefill > 0) {
           continue;
         }
       }
-      if (this.reserveOne(sequence)) {
+      if (this.reserveToken(sequence)) {
         producing.push(sequence);
       }
     }
-    const alive = producing.filter((item) => item.isRunning);
+    const active = producing.filter((item) => item.isRunning);
     return {
       durationMs: this.getDuration(prefilled),
-      finish: () => alive.forEach((item) => this.produce(item)),
+      finish: () => active.forEach((item) => this.produce(item)),
     };
   }
 
   private getDuration(prefilled: number): number {
     return (
-      this.speed *
+      this.slowdownFactor *
       (this.shape.baseStepMs +
         this.shape.stepMsPerSequence * this.running.length +
-        (this.shape.stepMsPerThousandContext * this.used) / 1_000 +
+        (this.shape.stepMsPerThousandContext * this.usedTokens) / 1_000 +
         (this.shape.stepMsPerThousandPrefill * prefilled) / 1_000)
     );
   }
@@ -172,8 +172,8 @@
     this.produced += 1;
     sequence.job.onToken(sequence.produced - 1);
     if (sequence.produced >= sequence.job.outputTokens) {
-      this.leave(sequence);
-      this.keepPrefix(sequence.job);
+      this.stopRunning(sequence);
+      this.cachePrefix(sequence.job);
       sequence.job.onEnd();
     }
   }
@@ -185,23 +185,23 @@
         return;
       }
       const size = next.job.promptTokens + next.produced;
-      const fits = this.makeRoom(this.roundUp(size) + this.shape.blockTokens);
+      const fits = this.freeMemory(this.roundUp(size) + this.shape.blockTokens);
       if (!fits && this.running.length > 0) {
         return;
       }
       this.waiting.shift();
       const isCached = next.produced === 0 && this.cache.has(next.job.prefix);
       next.toPrefill = Math.max(size - (isCached ? next.job.prefixTokens : 0), 1);
-      this.hold(next, size);
+      this.setHeldTokens(next, size);
       next.isRunning = true;
-      insertByUrgency(this.running, next);
+      insertByPriority(this.running, next);
     }
   }
 
-  /** Makes room for one more token of a sequence; false when it was itself the one to give way. */
-  private reserveOne(sequence: Sequence): boolean {
-    const grown = this.roundUp(sequence.held + 1) - this.roundUp(sequence.held);
-    while (grown > 0 && !this.makeRoom(grown)) {
+  /** Reserves memory for one more token of a sequence; returns false when the sequence itself was preempted for it. */
+  private reserveToken(sequence: Sequence): boolean {
+    const neededTokens = this.roundUp(sequence.held + 1) - this.roundUp(sequence.held);
+    while (neededTokens > 0 && !this.freeMemory(neededTokens)) {
       const victim = this.running.at(-1)!;
       if (this.running.length === 1) {
         break;
@@ -211,58 +211,61 @@
         return false;
       }
     }
-    this.hold(sequence, sequence.held + 1);
+    this.setHeldTokens(sequence, sequence.held + 1);
     return true;
   }
 
   private preempt(victim: Sequence): void {
     this.preemptions += 1;
-    this.leave(victim);
+    this.stopRunning(victim);
     victim.job.onPreempt?.();
     this.enqueue(victim);
   }
 
-  private leave(sequence: Sequence): void {
+  private stopRunning(sequence: Sequence): void {
     this.running = this.running.filter((item) => item !== sequence);
     sequence.isRunning = false;
-    this.hold(sequence, 0);
+    this.setHeldTokens(sequence, 0);
   }
 
-  private hold(sequence: Sequence, tokens: number): void {
-    this.used += this.roundUp(tokens) - this.roundUp(sequence.held);
+  private setHeldTokens(sequence: Sequence, tokens: number): void {
+    this.usedTokens += this.roundUp(tokens) - this.roundUp(sequence.held);
     sequence.held = tokens;
   }
 
-  private makeRoom(tokens: number): boolean {
-    while (this.cache.size > 0 && this.used + this.cached + tokens > this.shape.tokensTotal) {
-      this.dropOldestPrefix();
+  private freeMemory(tokens: number): boolean {
+    while (
+      this.cache.size > 0 &&
+      this.usedTokens + this.cachedTokens + tokens > this.shape.tokensTotal
+    ) {
+      this.evictOldestPrefix();
     }
-    return this.used + tokens <= this.shape.tokensTotal;
+    return this.usedTokens + tokens <= this.shape.tokensTotal;
   }
 
-  private keepPrefix(job: EngineJob): void {
+  private cachePrefix(job: EngineJob): void {
     if (job.prefix === '' || job.prefixTokens === 0) {
       return;
     }
     if (!this.cache.has(job.prefix)) {
       this.onCacheChange(job.prefix, true);
     }
-    this.cached += job.prefixTokens - (this.cache.get(job.prefix) ?? 0);
+    this.cachedTokens += job.prefixTokens - (this.cache.get(job.prefix) ?? 0);
     this.cache.delete(job.prefix);
     this.cache.set(job.prefix, job.prefixTokens);
-    while (this.cached > this.shape.cacheTokens) {
-      this.dropOldestPrefix();
+    while (this.cachedTokens > this.shape.cacheTokens) {
+      this.evictOldestPrefix();
     }
   }
 
-  private dropOldestPrefix(): void {
+  private evictOldestPrefix(): void {
     const oldest = this.cache.keys().next().value as string;
-    this.cached -= this.cache.get(oldest) ?? 0;
+    this.cachedTokens -= this.cache.get(oldest) ?? 0;
     this.cache.delete(oldest);
     this.onCacheChange(oldest, false);
   }
 
-  /** The prefixes that are cached now. */
+  /** Lists the cached prefixes in the order in which they were last stored. */
   public listCached(): string[] {
     return [...this.cache.keys()];
   }
@@ -272,18 +275,18 @@
   }
 
   private enqueue(sequence: Sequence): void {
-    insertByUrgency(this.waiting, sequence);
+    insertByPriority(this.waiting, sequence);
   }
 }
 
-function insertByUrgency(list: Sequence[], sequence: Sequence): void {
+function insertByPriority(list: Sequence[], sequence: Sequence): void {
   let at = list.length;
-  while (at > 0 && compareUrgency(list[at - 1]!, sequence) > 0) {
+  while (at > 0 && comparePriority(list[at - 1]!, sequence) > 0) {
     at -= 1;
   }
   list.splice(at, 0, sequence);
 }
 
-function compareUrgency(a: Sequence, b: Sequence): number {
+function comparePriority(a: Sequence, b: Sequence): number {
   return a.job.priority - b.job.priority || a.order - b.order;
 }
--- a/packages/fakes/src/fake-engine.ts
+++ b/packages/fakes/src/fake-engine.ts
@@ -7,47 +7,47 @@
 import * as servers from './fake-server.js';
 import * as texts from './token-text.js';
 
-/** How often an engine says that a stream is alive, in milliseconds. */
-const COMMENT_MS = 500;
+/** Interval between keep-alive comments on a stream. */
+const KEEP_ALIVE_INTERVAL_MS = 500;
 
-/** How many changes of its prefix cache an engine remembers. */
+/** Maximum number of prefix-cache changes that an engine keeps for its load reports. */
 const MAX_CACHE_EVENTS = 1_000;
 
-/** How many tokens of a prompt a prefix stands for. */
+/** Length of every prefix, in prompt tokens. */
 const PREFIX_TOKENS = 128;
 
-/** How a fake engine is made. */
+/** Options of a fake engine. */
 export interface FakeEngineOptions {
   readonly upstreamId: string;
   readonly shape?: Partial<engineModels.EngineShape>;
   readonly models: readonly { model: string; version: string }[];
   readonly checksFencing: boolean;
-  /** How much later than it was true a load report is given, in milliseconds. */
+  /** Age of the load report that is returned, in milliseconds. */
   readonly reportLagMs: number;
-  /** Time passes this many times faster than the model says. */
+  /** Factor by which steps run faster than the model's durations. */
   readonly speed: number;
 }
 
-/** Faults that a test or a person can ask for. */
+/** Faults that a test or an operator can inject. */
 export interface EngineFaults {
   refuse: boolean;
   resetAfterRead: boolean;
-  /** Streams that are open now fall silent; new connections work. */
+  /** Streams whose number is not higher than this one send nothing more; newer connections work. */
   silentBefore: number;
   leaving: boolean;
-  /** Every event is sent twice. */
+  /** Sends every event twice. */
   doubles: boolean;
-  /** Bytes are sent in pieces of this size, 0 for whole events. */
+  /** Size of the pieces in which bytes are sent; 0 sends whole events. */
   pieceBytes: number;
-  /** Changes of the prefix cache are counted and not told. */
+  /** Counts changes of the prefix cache but leaves them out of load reports. */
   losesCacheEvents: boolean;
-  /** Ends like a killed process. */
+  /** Closes the server and every connection at once, as a killed process does. */
   die: boolean;
-  /** Leaves now and ends after so many milliseconds, 0 for never. */
+  /** Reports `leaving` at once and closes as a killed process after this many milliseconds; 0 for never. */
   reclaimAfterMs: number;
 }
 
-/** A small stand-in of a model engine behind its published protocol. */
+/** Test double of a model engine that serves the published protocol. */
 export class FakeEngine {
   public readonly model: engineModels.EngineModel;
   public readonly faults: EngineFaults = {
@@ -61,43 +61,43 @@
     die: false,
     reclaimAfterMs: 0,
   };
-  /** Everything that was ever begun here, by generation. */
+  /** Every generation that this engine has started, by id. */
   public readonly record = new Map<string, generations.FakeGeneration>();
-  /** How many streams were opened here. */
+  /** Number of streams opened so far. */
   public streams = 0;
   public readonly orders: { order: schemas.Order; status: number }[] = [];
   private readonly tombstones = new Set<string>();
   private readonly server: servers.FakeServer;
   private models: { model: string; version: string }[];
-  private fence: schemas.Fencing = { term: 0, index: 0 };
+  private latestFencing: schemas.Fencing = { term: 0, index: 0 };
   private reports: schemas.LoadReport[] = [];
   private cacheEvents: { prefix: string; isStored: boolean }[] = [];
-  private cacheFirst = 0;
+  private firstCacheEvent = 0;
   private isStepping = false;
   private isClosed = false;
-  private readonly reporter: NodeJS.Timeout;
+  private readonly reportTimer: NodeJS.Timeout;
 
   public constructor(private readonly options: FakeEngineOptions) {
     this.model = new engineModels.EngineModel(options.shape);
     this.models = [...options.models];
-    this.model.onCacheChange = (prefix, isStored) => this.noteCache(prefix, isStored);
+    this.model.onCacheChange = (prefix, isStored) => this.recordCacheChange(prefix, isStored);
     this.server = new servers.FakeServer(this.createRoutes());
-    this.reporter = setInterval(() => this.keepReport(), 50);
+    this.reportTimer = setInterval(() => this.recordReport(), 50);
   }
 
-  /** Starts to listen and gives the address. */
+  /** Starts to listen and returns the address. */
   public async listen(port = 0): Promise<string> {
     return this.server.listen(port);
   }
 
-  /** Ends at once, as a killed process does. */
+  /** Closes the server and every connection at once, as a killed process does. */
   public kill(): void {
     this.isClosed = true;
-    clearInterval(this.reporter);
+    clearInterval(this.reportTimer);
     this.server.kill();
   }
 
-  /** Lets every stream that is open now fall silent. */
+  /** Stops all output on the streams that are open now, without closing them. */
   public silence(): void {
     this.faults.silentBefore = this.streams;
   }
@@ -106,9 +106,9 @@
     return {
       'POST /v1/completions': (req, res) => this.complete(req, res, 'text_completion'),
       'POST /v1/chat/completions': (req, res) => this.complete(req, res, 'chat.completion'),
-      'GET /v1/generations/:id/events': (req, res) => this.attach(req, res),
+      'GET /v1/generations/:id/events': (req, res) => this.resumeStream(req, res),
       'DELETE /v1/generations/:id': (req, res) => this.cancel(req, res),
-      'POST /orders': (req, res) => this.takeOrder(req, res),
+      'POST /orders': (req, res) => this.handleOrder(req, res),
       'GET /load': (req, res) => servers.sendJson(res, 200, this.getReport(req)),
       'GET /record': (_req, res) => servers.sendJson(res, 200, this.listRecord()),
       'POST /faults': (req, res) => {
@@ -140,20 +140,20 @@
       servers.sendJson(res, 409, { error: { message: 'known or cancelled', code: 'conflict' } });
       return;
     }
-    const generation = this.begin(id, body, object);
+    const generation = this.startGeneration(id, body, object);
     this.stream(generation, res, 0);
   }
 
-  private begin(
+  private startGeneration(
     id: string,
     body: generations.CompletionBody,
     object: generations.StreamObject,
   ): generations.FakeGeneration {
     const prompt = generations.getPrompt(body);
-    const most = body.max_tokens ?? 4_096;
+    const maxTokens = body.max_tokens ?? 4_096;
     const outputTokens = Math.min(
-      body.fake_output_tokens ?? texts.getOutputTokens(prompt, most),
-      most,
+      body.fake_output_tokens ?? texts.getOutputTokens(prompt, maxTokens),
+      maxTokens,
     );
     const generation = new generations.FakeGeneration(id, body.model, object, outputTokens);
     this.record.set(id, generation);
@@ -171,7 +171,7 @@
     return generation;
   }
 
-  private attach(req: servers.FakeRequest, res: http.ServerResponse): void {
+  private resumeStream(req: servers.FakeRequest, res: http.ServerResponse): void {
     const generation = this.record.get(req.params.id ?? '');
     if (generation === undefined) {
       servers.sendJson(res, 404, { error: { message: 'no such generation', code: 'unknown' } });
@@ -187,7 +187,7 @@
     const id = req.params.id ?? '';
     const generation = this.record.get(id);
     if (generation === undefined) {
-      // A start that is still on its way must find that it was cancelled.
+      // The request may arrive after its cancellation and must then be refused.
       this.tombstones.add(id);
       servers.sendJson(res, 200, { state: 'unknown', tokens: 0 });
       return;
@@ -207,25 +207,25 @@
   ): void {
     this.streams += 1;
     const connection = this.streams;
-    const isSilent = () => connection <= this.faults.silentBefore;
+    const isSilenced = () => connection <= this.faults.silentBefore;
     res.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store' });
     res.flushHeaders();
     const write = (text: string) => {
-      if (isSilent() || this.isClosed) {
+      if (isSilenced() || this.isClosed) {
         return;
       }
       this.writePieces(res, this.faults.doubles ? text + text : text);
     };
-    const comments = setInterval(() => write(': alive\n\n'), COMMENT_MS);
-    const stop = generation.follow(from, write, () => {
-      clearInterval(comments);
-      if (!isSilent()) {
+    const keepAliveTimer = setInterval(() => write(': alive\n\n'), KEEP_ALIVE_INTERVAL_MS);
+    const unsubscribe = generation.follow(from, write, () => {
+      clearInterval(keepAliveTimer);
+      if (!isSilenced()) {
         res.end();
       }
     });
     res.on('close', () => {
-      clearInterval(comments);
-      stop();
+      clearInterval(keepAliveTimer);
+      unsubscribe();
     });
   }
 
@@ -241,16 +241,16 @@
     }
   }
 
-  private takeOrder(req: servers.FakeRequest, res: http.ServerResponse): void {
+  private handleOrder(req: servers.FakeRequest, res: http.ServerResponse): void {
     const order = servers.parseBody(req) as schemas.Order;
     const { fencing } = order;
-    const isOld =
-      fencing.term < this.fence.term ||
-      (fencing.term === this.fence.term && fencing.index < this.fence.index);
-    const status = this.options.checksFencing && isOld ? 409 : 200;
+    const isStale =
+      fencing.term < this.latestFencing.term ||
+      (fencing.term === this.latestFencing.term && fencing.index < this.latestFencing.index);
+    const status = this.options.checksFencing && isStale ? 409 : 200;
     this.orders.push({ order, status });
     if (status === 200) {
-      this.fence = isOld ? this.fence : fencing;
+      this.latestFencing = isStale ? this.latestFencing : fencing;
       this.models = this.models.filter(
         (item) => item.model !== order.model || item.version !== order.version,
       );
@@ -273,10 +273,10 @@
     while (!this.model.isIdle() && !this.isClosed) {
       const step = this.model.step();
       dueAt = Math.max(dueAt + step.durationMs / this.options.speed, performance.now() - 20);
-      const restMs = dueAt - performance.now();
-      if (restMs >= 1) {
+      const waitMs = dueAt - performance.now();
+      if (waitMs >= 1) {
         await new Promise((resolve) => {
-          setTimeout(resolve, restMs);
+          setTimeout(resolve, waitMs);
         });
       }
       step.finish();
@@ -287,7 +287,7 @@
     }
   }
 
-  private keepReport(): void {
+  private recordReport(): void {
     const now = performance.now();
     this.reports.push({
       at: now,
@@ -307,23 +307,23 @@
 
   private getReport(req: servers.FakeRequest): schemas.LoadReport {
     if (this.reports.length === 0) {
-      this.keepReport();
+      this.recordReport();
     }
     const report = this.reports[0]!;
-    const since = Math.max(Number(req.query.cacheSince ?? 0), this.cacheFirst);
-    const events = this.cacheEvents.slice(since - this.cacheFirst);
+    const since = Math.max(Number(req.query.cacheSince ?? 0), this.firstCacheEvent);
+    const events = this.cacheEvents.slice(since - this.firstCacheEvent);
     const ageMs = performance.now() - report.at;
     return { ...report, ageMs, cache: { first: since, events } };
   }
 
-  private noteCache(prefix: string, isStored: boolean): void {
+  private recordCacheChange(prefix: string, isStored: boolean): void {
     this.cacheEvents.push({ prefix, isStored });
-    const lost = this.faults.losesCacheEvents
+    const droppedCount = this.faults.losesCacheEvents
       ? this.cacheEvents.length
       : this.cacheEvents.length - MAX_CACHE_EVENTS;
-    if (lost > 0) {
-      this.cacheEvents = this.cacheEvents.slice(lost);
-      this.cacheFirst += lost;
+    if (droppedCount > 0) {
+      this.cacheEvents = this.cacheEvents.slice(droppedCount);
+      this.firstCacheEvent += droppedCount;
     }
   }
 
--- a/packages/fakes/src/fake-generation.ts
+++ b/packages/fakes/src/fake-generation.ts
@@ -1,9 +1,9 @@
 import * as texts from './token-text.js';
 
-/** What the stream's objects are called. */
+/** Value of the `object` field of a stream's chunks, without the `.chunk` suffix. */
 export type StreamObject = 'text_completion' | 'chat.completion';
 
-/** The parts of a completion's body that the fake looks at. */
+/** The fields of a completion request that the fake engine reads. */
 export interface CompletionBody {
   readonly model: string;
   readonly prompt?: string;
@@ -14,16 +14,16 @@
   readonly fake_output_tokens?: number;
 }
 
-/** The prompt of either kind of body. */
+/** Returns the prompt of a text or chat completion request. */
 export function getPrompt(body: CompletionBody): string {
   return body.prompt ?? (body.messages ?? []).map((item) => String(item.content)).join('\n');
 }
 
-/** A generation in the fake: its tokens so far, for every connection that follows it. */
+/** A generation of the fake engine, streamed to any number of connections. */
 export class FakeGeneration {
   public tokens = 0;
   public ending: 'stop' | 'cancelled' | undefined;
-  private readonly followers = new Set<() => void>();
+  private readonly subscribers = new Set<() => void>();
   private readonly createdS = Math.floor(Date.now() / 1_000);
 
   public constructor(
@@ -36,16 +36,16 @@
   /** Produces the next token. */
   public produce(): void {
     this.tokens += 1;
-    this.followers.forEach((follower) => follower());
+    this.subscribers.forEach((notify) => notify());
   }
 
-  /** Ends it. */
+  /** Ends the generation; only the first call sets the ending. */
   public end(ending: 'stop' | 'cancelled'): void {
     this.ending ??= ending;
-    this.followers.forEach((follower) => follower());
+    this.subscribers.forEach((notify) => notify());
   }
 
-  /** Writes the events from an offset on, as they come, until the end; gives a way to stop. */
+  /** Writes the events from an offset on as they are produced, until the end; returns a function that stops it. */
   public follow(from: number, write: (text: string) => void, close: () => void): () => void {
     let next = from;
     const send = () => {
@@ -54,25 +54,25 @@
         text += this.createEvent(next);
         next += 1;
       }
-      const isOver = this.ending !== undefined && next >= this.tokens;
-      if (isOver && this.ending === 'stop') {
+      const hasEnded = this.ending !== undefined && next >= this.tokens;
+      if (hasEnded && this.ending === 'stop') {
         text += next === this.tokens ? this.createEvent(next) : '';
         text += 'data: [DONE]\n\n';
       }
-      if (isOver && this.ending === 'cancelled') {
+      if (hasEnded && this.ending === 'cancelled') {
         text += 'data: {"error":{"message":"cancelled","code":"cancelled"}}\n\n';
       }
       if (text !== '') {
         write(text);
       }
-      if (isOver) {
-        this.followers.delete(send);
+      if (hasEnded) {
+        this.subscribers.delete(send);
         close();
       }
     };
-    this.followers.add(send);
+    this.subscribers.add(send);
     send();
-    return () => this.followers.delete(send);
+    return () => this.subscribers.delete(send);
   }
 
   private createEvent(offset: number): string {
--- a/packages/fakes/src/fake-platform.ts
+++ b/packages/fakes/src/fake-platform.ts
@@ -2,7 +2,7 @@
 
 import * as servers from './fake-server.js';
 
-/** A small stand-in of the platform's list of hosts; what it tells is late by `lagMs`. */
+/** Test double of the platform's host list; it returns the list as it was `lagMs` ago. */
 export class FakePlatform {
   private history: { at: number; upstreams: schemas.Upstream[] }[] = [
     { at: -Infinity, upstreams: [] },
@@ -23,28 +23,28 @@
 
   public constructor(private readonly lagMs: number) {}
 
-  /** Starts to listen and gives the address. */
+  /** Starts to listen and returns the address. */
   public async listen(): Promise<string> {
     return this.server.listen(0);
   }
 
-  /** Sets the true list. */
+  /** Sets the current list, which is served after `lagMs`. */
   public set(upstreams: schemas.Upstream[]): void {
     this.history.push({ at: performance.now(), upstreams });
   }
 
-  /** The true list. */
+  /** Returns the current list without the lag. */
   public get(): schemas.Upstream[] {
     return this.history.at(-1)?.upstreams ?? [];
   }
 
-  /** Ends at once. */
+  /** Closes the server and every connection at once. */
   public kill(): void {
     this.server.kill();
   }
 
   private getLagging(): schemas.Upstream[] {
-    const then = performance.now() - this.lagMs;
-    return this.history.filter((item) => item.at <= then).at(-1)?.upstreams ?? [];
+    const visibleUntil = performance.now() - this.lagMs;
+    return this.history.filter((item) => item.at <= visibleUntil).at(-1)?.upstreams ?? [];
   }
 }
--- a/packages/fakes/src/fake-server.ts
+++ b/packages/fakes/src/fake-server.ts
@@ -10,12 +10,12 @@
   rawBody: Buffer;
 };
 
-/** Handlers by method and pattern. */
+/** Handlers by method and path pattern, such as `GET /load`. */
 export type Routes = Readonly<
   Record<string, (req: FakeRequest, res: http.ServerResponse) => void | Promise<void>>
 >;
 
-/** A server on a port of the operating system's choice, which can die like a process. */
+/** An HTTP server on loopback that can be closed as abruptly as a killed process. */
 export class FakeServer {
   private readonly server = http.createServer();
   private readonly sockets = new Set<net.Socket>();
@@ -39,7 +39,7 @@
     this.server.on('request', app.handler.bind(app) as never);
   }
 
-  /** Starts to listen and gives the address. */
+  /** Starts to listen, on a port chosen by the operating system for 0, and returns the address. */
   public async listen(port: number): Promise<string> {
     await new Promise<void>((resolve) => {
       this.server.listen(port, '127.0.0.1', resolve);
@@ -47,20 +47,20 @@
     return `http://127.0.0.1:${(this.server.address() as net.AddressInfo).port}`;
   }
 
-  /** Ends at once with every connection. */
+  /** Closes the server and every connection at once. */
   public kill(): void {
     this.server.close();
     this.sockets.forEach((socket) => socket.destroy());
   }
 }
 
-/** Sends a JSON answer. */
+/** Sends a JSON response. */
 export function sendJson(res: http.ServerResponse, status: number, body: unknown): void {
   res.writeHead(status, { 'content-type': 'application/json' });
   res.end(JSON.stringify(body));
 }
 
-/** The JSON of a request's body. */
+/** Parses the JSON body of a request; an empty body is `{}`. */
 export function parseBody(req: FakeRequest): unknown {
   return JSON.parse(req.rawBody.toString('utf8') || '{}');
 }
--- a/packages/fakes/src/fake-service.ts
+++ b/packages/fakes/src/fake-service.ts
@@ -2,9 +2,9 @@
 
 import * as servers from './fake-server.js';
 
-/** A small stand-in of a booking application or a caseworker portal. */
+/** Test double of a service such as a booking application or a caseworker portal. */
 export class FakeService {
-  /** Every confirm that ran, by booking, with how often. */
+  /** Number of executed confirms of each booking. */
   public readonly confirms = new Map<string, number>();
   public readonly faults = { refuse: false, resetAfterRead: false, answerDelayMs: 0 };
   private readonly server = new servers.FakeServer({
@@ -18,12 +18,12 @@
     },
   });
 
-  /** Starts to listen and gives the address. */
+  /** Starts to listen and returns the address. */
   public async listen(): Promise<string> {
     return this.server.listen(0);
   }
 
-  /** Ends at once, as a killed process does. */
+  /** Closes the server and every connection at once, as a killed process does. */
   public kill(): void {
     this.server.kill();
   }
--- a/packages/fakes/src/fakes-main.ts
+++ b/packages/fakes/src/fakes-main.ts
@@ -22,7 +22,7 @@
   reportLagMs: z.int(),
 });
 
-/** Starts the stand-ins that a settings file describes and prints where they listen, as one JSON line. */
+/** Starts the test doubles that a settings file describes and prints their addresses as one JSON line. */
 async function main(): Promise<void> {
   const cfg = fakesConfig.parse(JSON.parse(fs.readFileSync(process.argv[2] ?? '', 'utf8')));
   const upstreams: schemas.Upstream[] = [];
--- a/packages/fakes/src/held-ports.ts
+++ b/packages/fakes/src/held-ports.ts
@@ -1,30 +1,33 @@
 import * as net from 'node:net';
 
-/** Where ports are held. */
-const HOLDING_HOST = '127.0.0.1';
+/** Address on which ports are reserved. */
+const RESERVATION_HOST = '127.0.0.1';
 
-/** Where held ports are used; connections that go out on loopback leave from the other address and never take one. */
+/**
+ * Address on which reserved ports are used. Outgoing loopback connections use the other address as their source, so their
+ * ephemeral ports never take one of these.
+ */
 export const HELD_PORT_HOST = '127.0.0.2';
 
 /**
- * Port numbers that nobody else gets while they are held. Settings must name ports before anything listens there; a
- * port that was found free and closed again is given to whoever asks next, and the start fails with `EADDRINUSE`. So the
- * number stays taken on one loopback address and is used on others.
+ * Port numbers reserved for a test's processes. Settings must name ports before anything listens on them. A port that
+ * was only found free and closed again may be assigned to another process, and the start then fails with `EADDRINUSE`.
+ * The number is therefore kept bound on one loopback address and used on another one.
  */
 export class HeldPorts {
   private constructor(private readonly servers: readonly net.Server[]) {}
 
-  /** Takes so many ports that the operating system chooses. */
+  /** Reserves `count` ports chosen by the operating system. */
   public static async take(count: number): Promise<HeldPorts> {
     return new HeldPorts(await Promise.all(Array.from({ length: count }, listen)));
   }
 
-  /** Their numbers. */
+  /** Returns the port numbers. */
   public list(): number[] {
     return this.servers.map((server) => (server.address() as net.AddressInfo).port);
   }
 
-  /** Gives them up. */
+  /** Releases the ports. */
   public release(): void {
     this.servers.forEach((server) => server.close());
   }
@@ -34,8 +37,8 @@
   return new Promise((resolve, reject) => {
     const server = net.createServer();
     server.once('error', reject);
-    // A program that forgets to give them up must end all the same.
+    // Lets a program exit that does not release its ports.
     server.unref();
-    server.listen(0, HOLDING_HOST, () => resolve(server));
+    server.listen(0, RESERVATION_HOST, () => resolve(server));
   });
 }
--- a/packages/fakes/src/index.ts
+++ b/packages/fakes/src/index.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins of the systems outside, for tests, the bench and the quickstart. */
+/** Test doubles of the external systems, for tests, the bench and the quickstart. */
 export * from './engine-model.js';
 export * from './fake-engine.js';
 export * from './fake-generation.js';
--- a/packages/fakes/src/memory-files.ts
+++ b/packages/fakes/src/memory-files.ts
@@ -1,4 +1,4 @@
-/** Thrown by every call after the crash. */
+/** Thrown by the call at which the crash occurs and by every later one. */
 export class CrashError extends Error {
   public override readonly name = 'CrashError';
 }
@@ -9,29 +9,29 @@
 }
 
 /**
- * Files in memory that can crash at any call: what was not synced is lost, or is left torn at a length
- * that the test chooses. The shape is that of the consensus package's file layer.
+ * In-memory files that can crash at any call. Unsynced bytes are then lost, or kept up to a share that the test
+ * chooses. The interface is that of the consensus package's file storage.
  */
 export class MemoryFiles {
-  /** How many calls have been made, for choosing crash points. */
+  /** Number of calls made so far, for choosing crash points. */
   public calls = 0;
   private readonly files = new Map<string, MemoryFile>();
   private crashAt = Infinity;
   private tornShare = 0;
   private isSyncing = true;
 
-  /** Crashes at the n-th call from now; `tornShare` of the unsynced bytes survive. */
+  /** Crashes at the n-th call from now; the share `tornShare` (0 to 1) of the unsynced bytes is kept. */
   public crashAfter(calls: number, tornShare: number): void {
     this.crashAt = this.calls + calls;
     this.tornShare = tornShare;
   }
 
-  /** Breaks the promise of `sync`, to prove that the checks notice. */
+  /** Makes `sync` do nothing, to prove that the checks detect lost writes. */
   public breakSync(): void {
     this.isSyncing = false;
   }
 
-  /** What a new process finds after this one died. */
+  /** Returns the files that a new process finds after a machine crash. */
   public reopen(): MemoryFiles {
     const next = new MemoryFiles();
     this.files.forEach((file, name) => {
@@ -43,19 +43,19 @@
     return next;
   }
 
-  /** What a new process finds after this one was killed on a machine that goes on: nothing is lost yet. */
+  /** Returns the files that a new process finds when only the process was killed: unsynced bytes are still there. */
   public restart(): MemoryFiles {
     const next = new MemoryFiles();
     this.files.forEach((file, name) => next.files.set(name, { ...file }));
     return next;
   }
 
-  /** Loses everything. */
+  /** Deletes every file. */
   public wipe(): void {
     this.files.clear();
   }
 
-  /** Flips a byte, as a bad disk does. */
+  /** Inverts one byte, as a faulty disk may. */
   public corrupt(name: string, at: number): void {
     const file = this.getFile(name);
     file.written = Buffer.from(file.written);
@@ -63,25 +63,25 @@
     file.synced = file.written;
   }
 
-  /** How long a file is. */
+  /** Returns the length of a file in bytes. */
   public getLength(name: string): number {
     return this.getFile(name).written.length;
   }
 
   public async read(name: string): Promise<Buffer | undefined> {
-    this.count();
+    this.countCall();
     return Promise.resolve(this.files.get(name)?.written);
   }
 
   public async append(name: string, bytes: Buffer): Promise<void> {
     const file = this.getFile(name);
     file.written = Buffer.concat([file.written, bytes]);
-    this.count();
+    this.countCall();
     return Promise.resolve();
   }
 
   public async sync(name: string): Promise<void> {
-    this.count();
+    this.countCall();
     if (this.isSyncing) {
       const file = this.getFile(name);
       file.synced = file.written;
@@ -90,7 +90,7 @@
   }
 
   public async truncate(name: string, length: number): Promise<void> {
-    this.count();
+    this.countCall();
     const file = this.getFile(name);
     file.written = file.written.subarray(0, length);
     file.synced = file.written;
@@ -98,12 +98,12 @@
   }
 
   public async replace(name: string, bytes: Buffer): Promise<void> {
-    this.count();
+    this.countCall();
     this.files.set(name, { synced: bytes, written: bytes });
     return Promise.resolve();
   }
 
-  private count(): void {
+  private countCall(): void {
     this.calls += 1;
     if (this.calls >= this.crashAt) {
       throw new CrashError('crashed');
@@ -111,9 +111,9 @@
   }
 
   private getFile(name: string): MemoryFile {
-    const known = this.files.get(name);
-    if (known !== undefined) {
-      return known;
+    const existing = this.files.get(name);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = { synced: Buffer.alloc(0), written: Buffer.alloc(0) };
     this.files.set(name, created);
--- a/scripts/bench.mjs
+++ b/scripts/bench.mjs
@@ -1,4 +1,4 @@
-// Builds and runs one measurement: npm run bench -- NAME
+// Builds the project and runs one benchmark: npm run bench -- NAME
 import { spawnSync } from 'node:child_process';
 
 const run = (cmd, args) => {
--- a/scripts/quickstart.mjs
+++ b/scripts/quickstart.mjs
@@ -1,4 +1,4 @@
-// Installs, builds and runs the main job on loopback; arguments go on to the program.
+// Installs dependencies, builds the project and runs the quickstart on loopback; passes its arguments on to the program.
 import { spawnSync } from 'node:child_process';
 import * as fs from 'node:fs';
 
--- a/scripts/verify.mjs
+++ b/scripts/verify.mjs
@@ -1,4 +1,4 @@
-// Installs, checks format, lints, compiles and tests; the last line holds tap's counts.
+// Installs dependencies, checks the format, compiles, lints and tests; the last line holds the total test counts.
 import { spawnSync } from 'node:child_process';
 
 const steps = [
