--- a/packages/bench/src/bench.ts
+++ b/packages/bench/src/bench.ts
@@ -35,7 +35,7 @@
   all: {
     describe: 'one table of every headline figure that was measured, with its aim',
     run: async () => {
-      process.stdout.write(`${(await import('./headline.js')).createHeadlines()}\n`);
+      process.stdout.write(`${(await import('./headline.js')).createHeadlineTable()}\n`);
     },
   },
 };
--- a/packages/bench/src/capacity/capacity-bench.ts
+++ b/packages/bench/src/capacity/capacity-bench.ts
@@ -20,21 +20,21 @@
   readonly budget: rowsFile.Budget;
 }
 
-interface Held {
+interface BudgetedRow {
   readonly row: rowsFile.CapacityRow;
   readonly today: rowsFile.CapacityRow;
   readonly limit: number | undefined;
 }
 
-function isBroken({ limit, row }: Held): boolean {
+function isOverBudget({ limit, row }: BudgetedRow): boolean {
   return limit !== undefined && row.value > limit;
 }
 
-function show(value: number): string {
+function formatValue(value: number): string {
   return value < 10 ? value.toPrecision(2) : Math.round(value).toLocaleString('en');
 }
 
-function createRoleTable(held: readonly Held[]): string {
+function createRoleTable(held: readonly BudgetedRow[]): string {
   return reports.createTable(
     held.map((item) => ({
       role: item.row.role,
@@ -42,10 +42,10 @@
       kind: item.row.isControl ? 'control' : 'data',
       'worked out as': item.row.formula,
       'measured by': item.row.command,
-      today: show(item.today.value),
-      target: `${show(item.row.value)}${item.row.isExtrapolated ? ' *' : ''}`,
-      budget: item.limit === undefined ? '' : show(item.limit),
-      verdict: isBroken(item) ? '**over**' : 'within',
+      today: formatValue(item.today.value),
+      target: `${formatValue(item.row.value)}${item.row.isExtrapolated ? ' *' : ''}`,
+      budget: item.limit === undefined ? '' : formatValue(item.limit),
+      verdict: isOverBudget(item) ? '**over**' : 'within',
       'carried by': item.row.mechanism,
     })),
   );
@@ -98,7 +98,7 @@
     today: today[i]!,
     limit: rowsFile.findLimit(row, sizes.budget),
   }));
-  const broken = held.filter(isBroken);
+  const broken = held.filter(isOverBudget);
   const listBytes = getListBytes(sizes.target.daemons / sizes.target.zones);
   return [
     '# Capacity',
@@ -112,7 +112,7 @@
     'Control is held against the budget of a daemon; data is what callers ask for, held against one core.',
     createRoleTable(held),
     '## Rows that break the budget, and what would mend them',
-    ...outcomes.createMends(
+    ...outcomes.createRemedies(
       broken.map((item) => item.row),
       sizes.target,
       sizes.budget,
--- a/packages/bench/src/capacity/outcomes.ts
+++ b/packages/bench/src/capacity/outcomes.ts
@@ -32,7 +32,7 @@
 }).timings;
 
 /** What would mend each broken row, in order of gain. */
-export function createMends(
+export function createRemedies(
   broken: readonly rowsFile.CapacityRow[],
   target: rowsFile.Sizes,
   budget: rowsFile.Budget,
--- a/packages/bench/src/capacity/rows.ts
+++ b/packages/bench/src/capacity/rows.ts
@@ -57,8 +57,8 @@
 }
 
 /** How often owners read reports of their engines, and of the zone's others, per second. */
-const READS_PER_ENGINE = 2;
-const READS_PER_OTHER = 0.5;
+const READS_PER_POOL_ENGINE_PER_S = 2;
+const READS_PER_OTHER_ENGINE_PER_S = 0.5;
 
 /** How often daemons tell owners of progress, per second. */
 const PROGRESS_PER_S = 0.5;
@@ -99,7 +99,7 @@
     ...createRelayRows(slopes, sizes),
     ...createVoterRows(slopes, sizes),
     ...createLeaderRows(slopes, sizes),
-    ...createWatcherRows(slopes, sizes),
+    ...createReportReaderRows(slopes, sizes),
   ];
 }
 
@@ -183,7 +183,8 @@
   const role = 'pool owner';
   const perGrant = fits.predict(slopes.grantUs, enginesPerPool) / 1e6;
   const others = sizes.runners / sizes.zones - enginesPerPool;
-  const reads = READS_PER_ENGINE * enginesPerPool + READS_PER_OTHER * others;
+  const reads =
+    READS_PER_POOL_ENGINE_PER_S * enginesPerPool + READS_PER_OTHER_ENGINE_PER_S * others;
   const one = getBytes(slopes, 'progress of 1 generation');
   const perGeneration = (getBytes(slopes, 'progress of 10 generations') - one) / 9;
   const senders = Math.min(daemonsPerZone, livePerPool);
@@ -321,10 +322,11 @@
 }
 
 /** Reading the platform's list once a second is one more answer read, as large as the zone's upstreams. */
-function createWatcherRows(slopes: slopesFile.Slopes, sizes: Sizes): CapacityRow[] {
+function createReportReaderRows(slopes: slopesFile.Slopes, sizes: Sizes): CapacityRow[] {
   const { enginesPerPool } = derive(sizes);
   const others = sizes.runners / sizes.zones - enginesPerPool;
-  const reads = READS_PER_ENGINE * enginesPerPool + READS_PER_OTHER * others + 1;
+  const reads =
+    READS_PER_POOL_ENGINE_PER_S * enginesPerPool + READS_PER_OTHER_ENGINE_PER_S * others + 1;
   const common = { role: 'watcher of upstreams and of the list', isControl: true };
   return [
     {
--- a/packages/bench/src/capacity/slopes.ts
+++ b/packages/bench/src/capacity/slopes.ts
@@ -30,7 +30,7 @@
   readonly watch: readonly { readonly reports: number; readonly cpuUsPerReport: number }[];
 }
 
-interface Load {
+interface RoleUsage {
   readonly role: string;
   readonly cpuShare: number;
   readonly memoryMb: number;
@@ -41,10 +41,10 @@
   readonly sized: readonly {
     readonly daemons: number;
     readonly inForce: { readonly p50Ms: number; readonly p99Ms: number };
-    readonly idle: readonly Load[];
-    readonly changing: readonly Load[];
+    readonly idle: readonly RoleUsage[];
+    readonly changing: readonly RoleUsage[];
   }[];
-  readonly counted: readonly { readonly intents: number; readonly load: readonly Load[] }[];
+  readonly counted: readonly { readonly intents: number; readonly load: readonly RoleUsage[] }[];
   readonly faults: {
     readonly leaderLoss: { readonly p50Ms: number; readonly p99Ms: number };
     readonly backlog: { readonly voterMs: number; readonly daemonMs: number };
@@ -91,9 +91,9 @@
 
 /** Reads the measured results; fails where one is missing. */
 export function readSlopes(): Slopes {
-  const relay = need<RelayResults>('relay').rows.filter((row) => row.path === 'daemon');
-  const grants = need<GrantsResults>('grants');
-  const control = need<ControlResults>('control');
+  const relay = requireResults<RelayResults>('relay').rows.filter((row) => row.path === 'daemon');
+  const grants = requireResults<GrantsResults>('grants');
+  const control = requireResults<ControlResults>('control');
   const steady = relay.filter((row) => row.tokensPerS > 0.95 * row.offeredPerS);
   const streamsOf = (load: string) =>
     ({
@@ -103,12 +103,12 @@
       '30,000 tokens/s': 600,
       '2,000 open streams': 2_000,
     })[load] ?? 0;
-  const ofRole = (pattern: RegExp, pick: (load: Load) => number) =>
+  const ofRole = (pattern: RegExp, pick: (load: RoleUsage) => number) =>
     control.sized.flatMap(({ daemons, idle }) =>
       idle.filter((load) => pattern.test(load.role)).map((load) => ({ x: daemons, y: pick(load) })),
     );
   const zones = 4;
-  const relayPoints = (pick: (load: Load) => number) =>
+  const relayPoints = (pick: (load: RoleUsage) => number) =>
     ofRole(/^daemon\+relay$/, pick).map(({ x, y }) => ({ x: x / zones, y }));
   return {
     relayCpu: fits.fitSlope(steady.map((row) => ({ x: row.tokensPerS, y: row.cpuShare }))),
@@ -148,7 +148,7 @@
 /** What leading costs; where the leader was its zone's relay as well, without what relaying costs. */
 function getLeader(
   { daemons, idle }: ControlResults['sized'][number],
-  pick: (load: Load) => number,
+  pick: (load: RoleUsage) => number,
 ): fits.Point {
   const of = (role: string) => {
     const load = idle.find((item) => item.role === role);
@@ -159,7 +159,7 @@
   return { x: daemons, y };
 }
 
-function need<T>(name: string): T {
+function requireResults<T>(name: string): T {
   const found = reports.findResults<T>(name);
   if (found === undefined) {
     throw new Error(`no measured slopes: run npm run bench -- ${name} first`);
--- a/packages/bench/src/check-answer.ts
+++ b/packages/bench/src/check-answer.ts
@@ -1,7 +1,7 @@
 import * as fakes from '@bramleyridge/fakes';
 
 /** What one request came to. */
-export interface Checked {
+export interface CheckResult {
   readonly kind: 'complete' | 'refused' | 'broken';
   readonly tokens: number;
   readonly detail: string;
@@ -19,21 +19,21 @@
   token: string,
   body: object,
   headers: Readonly<Record<string, string>> = {},
-): Promise<Checked> {
+): Promise<CheckResult> {
   const res = await fetch(`${url}/v1/chat/completions`, {
     method: 'POST',
     headers: { authorization: `Bearer ${token}`, 'content-type': 'application/json', ...headers },
     body: JSON.stringify({ ...body, stream: true }),
   });
   if (res.status !== 200) {
-    return refused(res, await res.text());
+    return checkRefusal(res, await res.text());
   }
   const generation = res.headers.get('bramleyridge-generation') ?? '';
   return checkEvents(generation, await res.text());
 }
 
 /** Compares the events of a stream with the generation that they name. */
-export function checkEvents(generation: string, text: string): Checked {
+export function checkEvents(generation: string, text: string): CheckResult {
   let expected = 0;
   let outcome: StreamChunk['bramleyridge'];
   for (const event of text.split('\n\n').filter((part) => part.includes('data: '))) {
@@ -60,7 +60,11 @@
 }
 
 /** Sends a completion that is answered whole and compares its text. */
-export async function checkWhole(url: string, token: string, body: object): Promise<Checked> {
+export async function checkBuffered(
+  url: string,
+  token: string,
+  body: object,
+): Promise<CheckResult> {
   const res = await fetch(`${url}/v1/chat/completions`, {
     method: 'POST',
     headers: { authorization: `Bearer ${token}`, 'content-type': 'application/json' },
@@ -68,7 +72,7 @@
   });
   const text = await res.text();
   if (res.status !== 200) {
-    return refused(res, text);
+    return checkRefusal(res, text);
   }
   const answer = JSON.parse(text) as {
     id: string;
@@ -82,7 +86,7 @@
   return { kind: isWhole ? 'complete' : 'broken', tokens, detail: text.slice(0, 200) };
 }
 
-function refused(res: Response, text: string): Checked {
+function checkRefusal(res: Response, text: string): CheckResult {
   const isTrue = res.headers.get('bramleyridge-outcome') === 'not-run';
   return { kind: isTrue ? 'refused' : 'broken', tokens: 0, detail: `${res.status} ${text}` };
 }
--- a/packages/bench/src/child.ts
+++ b/packages/bench/src/child.ts
@@ -10,7 +10,7 @@
 /** A process that the bench started, and ends by its own handle. */
 export class Child {
   private readonly child: childProcess.ChildProcess;
-  private readonly ended: Promise<number | null>;
+  private readonly exited: Promise<number | null>;
   private firstLine: Promise<string>;
 
   public constructor(args: readonly string[], logFile: string, extra: readonly string[] = []) {
@@ -32,7 +32,7 @@
         }
       });
     });
-    this.ended = new Promise((resolve) => {
+    this.exited = new Promise((resolve) => {
       this.child.on('exit', (code) => {
         sink.end();
         resolve(code);
@@ -52,22 +52,22 @@
   /** Asks it to stop and waits for its end. */
   public stop(): Promise<number | null> {
     this.child.kill('SIGTERM');
-    return this.ended;
+    return this.exited;
   }
 
   /** Ends it at once. */
   public kill(): Promise<number | null> {
     this.child.kill('SIGKILL');
-    return this.ended;
+    return this.exited;
   }
 
   /** Freezes it, or lets it go on. */
-  public freeze(isFrozen: boolean): void {
+  public suspend(isFrozen: boolean): void {
     this.child.kill(isFrozen ? 'SIGSTOP' : 'SIGCONT');
   }
 
   /** Whether it has ended. */
-  public isEnded(): boolean {
+  public hasExited(): boolean {
     return this.child.exitCode !== null || this.child.signalCode !== null;
   }
 }
--- a/packages/bench/src/claims-measure.ts
+++ b/packages/bench/src/claims-measure.ts
@@ -24,7 +24,7 @@
   };
 }
 
-function createSeat(): requests.ClaimAcceptor {
+function createAcceptor(): requests.ClaimAcceptor {
   const never = () => new Promise<never>(() => {});
   const seat = new requests.ClaimAcceptor({
     daemonId: 'd1',
@@ -44,7 +44,7 @@
 function measureOne(claims: number): ClaimRow {
   globalThis.gc?.();
   const before = process.memoryUsage().heapUsed;
-  const seat = createSeat();
+  const seat = createAcceptor();
   const from = performance.now();
   for (let i = 0; i < claims; i += 1) {
     const key = schemas.getSha256(`key-${i}`).slice(0, 40);
--- a/packages/bench/src/control/control-bench.ts
+++ b/packages/bench/src/control/control-bench.ts
@@ -10,8 +10,8 @@
 import * as reports from '../report.js';
 
 const ZONES = ['a', 'b', 'c', 'd'];
-const CHANGES = 60;
-const BACKLOG = 500;
+const CHANGE_COUNT = 60;
+const BACKLOG_CHANGES = 500;
 const INTENT_COUNTS = [100, 500, 2_000];
 const DAEMON_COUNTS = [12, 20, 40];
 const IDLE_MS = 8_000;
@@ -65,14 +65,14 @@
   }
 
   /** Waits until every host that answers has a revision in force. */
-  public async waitEverywhere(revision: number): Promise<void> {
+  public async waitInForceOnAll(revision: number): Promise<void> {
     const urls = this.deployment
       .listUrls()
-      .filter((_, i) => !this.deployment.daemons[i]!.child.isEnded());
-    await Promise.all(urls.map((url) => this.waitAt(url, revision)));
+      .filter((_, i) => !this.deployment.daemons[i]!.child.hasExited());
+    await Promise.all(urls.map((url) => this.waitInForceAt(url, revision)));
   }
 
-  private async waitAt(url: string, revision: number): Promise<void> {
+  private async waitInForceAt(url: string, revision: number): Promise<void> {
     for (;;) {
       const found = await fetch(`${url}/readyz`)
         .then((res) => res.json() as Promise<{ revision: number; isReady: boolean }>)
@@ -87,7 +87,7 @@
   private async post(route: string, body: object): Promise<unknown> {
     for (;;) {
       for (const [i, url] of this.deployment.listUrls().entries()) {
-        if (this.deployment.daemons[i]!.child.isEnded()) {
+        if (this.deployment.daemons[i]!.child.hasExited()) {
           continue;
         }
         const res = await fetch(`${url}/operator/v1${route}`, {
@@ -119,13 +119,13 @@
   for (let i = 0; i < count; i += 1) {
     const revision = await operator.change(createFiles(intents, 1 + (i % 100)));
     const at = performance.now();
-    await operator.waitEverywhere(revision);
+    await operator.waitInForceOnAll(revision);
     times.push(performance.now() - at);
   }
   return summarize(times);
 }
 
-interface Load {
+interface RoleUsage {
   readonly role: string;
   readonly cpuShare: number;
   readonly memoryMb: number;
@@ -152,7 +152,7 @@
 async function measureLoad(
   deployment: deployments.Deployment,
   act: () => Promise<void>,
-): Promise<Load[]> {
+): Promise<RoleUsage[]> {
   const urls = deployment.listUrls();
   const read = async () =>
     Promise.all(
@@ -176,7 +176,7 @@
   const roles = [...new Set(all.map((item) => item.role))].sort();
   return roles.map((role) => {
     const own = all.filter((item) => item.role === role);
-    const mean = (pick: (item: Load) => number) =>
+    const mean = (pick: (item: RoleUsage) => number) =>
       own.reduce((sum, item) => sum + pick(item), 0) / own.length;
     return {
       role,
@@ -223,7 +223,7 @@
     deployment
       .listUrls()
       .map((url, i) =>
-        deployment.daemons[i]!.child.isEnded() ? Promise.resolve('') : readRole(url),
+        deployment.daemons[i]!.child.hasExited() ? Promise.resolve('') : readRole(url),
       ),
   );
   return roles.findIndex((role) => role.startsWith('leader'));
@@ -242,7 +242,7 @@
     const revision = await operator.change(createFiles(100, 200 + i));
     times.push(performance.now() - at);
     deployment.restart(leader);
-    await operator.waitEverywhere(revision);
+    await operator.waitInForceOnAll(revision);
   }
   return summarize(times);
 }
@@ -258,10 +258,10 @@
   await Promise.all([voter, daemon].map((i) => deployment.daemons[i]!.child.kill()));
   const from = performance.now();
   let revision = 0;
-  for (let i = 0; i < BACKLOG; i += 1) {
+  for (let i = 0; i < BACKLOG_CHANGES; i += 1) {
     revision = await operator.change(createFiles(100, 1_000 - i));
   }
-  const changesPerS = BACKLOG / ((performance.now() - from) / 1_000);
+  const changesPerS = BACKLOG_CHANGES / ((performance.now() - from) / 1_000);
   const wait = async (i: number) => {
     const at = performance.now();
     deployment.restart(i);
@@ -270,22 +270,22 @@
       listUrls: () => [deployment.getUrl(i)],
       daemons: [deployment.daemons[i]!],
     } as unknown as deployments.Deployment);
-    await only.waitEverywhere(revision);
+    await only.waitInForceOnAll(revision);
     return performance.now() - at;
   };
   return { voterMs: await wait(voter), daemonMs: await wait(daemon), changesPerS };
 }
 
-interface Sized {
+interface SizeResult {
   readonly daemons: number;
   readonly inForce: Times;
-  readonly idle: Load[];
-  readonly changing: Load[];
+  readonly idle: RoleUsage[];
+  readonly changing: RoleUsage[];
 }
 
-async function measureSize(daemons: number): Promise<Sized> {
+async function measureSize(daemons: number): Promise<SizeResult> {
   return withDeployment(daemons, async (deployment, operator) => {
-    await operator.waitEverywhere(await operator.change(createFiles(100, 1)));
+    await operator.waitInForceOnAll(await operator.change(createFiles(100, 1)));
     // Links that were used at the start only are closed by then; they are not part of an idle daemon.
     await deployments.pause(SETTLE_MS);
     const idle = await measureLoad(deployment, () => deployments.pause(IDLE_MS));
@@ -295,22 +295,22 @@
         await deployments.pause(1_000 / CHANGES_PER_S);
       }
     });
-    const inForce = await timeChanges(operator, 100, CHANGES);
+    const inForce = await timeChanges(operator, 100, CHANGE_COUNT);
     return { daemons, inForce, idle, changing };
   });
 }
 
-interface Counted {
+interface IntentCountResult {
   readonly intents: number;
   readonly inForce: Times;
-  readonly load: Load[];
+  readonly load: RoleUsage[];
 }
 
-async function measureIntents(): Promise<Counted[]> {
+async function measureIntents(): Promise<IntentCountResult[]> {
   return withDeployment(12, async (deployment, operator) => {
-    const rows: Counted[] = [];
+    const rows: IntentCountResult[] = [];
     for (const intents of INTENT_COUNTS) {
-      await operator.waitEverywhere(await operator.change(createFiles(intents, 1)));
+      await operator.waitInForceOnAll(await operator.change(createFiles(intents, 1)));
       const inForce = await timeChanges(operator, intents, 10);
       const load = await measureLoad(deployment, () => deployments.pause(2_000));
       rows.push({ intents, inForce, load });
@@ -319,7 +319,11 @@
   });
 }
 
-function createLoadRows(label: string, sized: readonly Sized[], pick: (s: Sized) => Load[]) {
+function createLoadRows(
+  label: string,
+  sized: readonly SizeResult[],
+  pick: (s: SizeResult) => RoleUsage[],
+) {
   return sized.flatMap((item) =>
     pick(item).map((load) => ({
       state: label,
@@ -334,12 +338,12 @@
 
 /** Real processes on loopback: 5 voters, up to 40 daemons in 4 zones. */
 export async function run(): Promise<void> {
-  const sized: Sized[] = [];
+  const sized: SizeResult[] = [];
   for (const daemons of DAEMON_COUNTS) {
     sized.push(await measureSize(daemons));
   }
   const faults = await withDeployment(40, async (deployment, operator) => {
-    await operator.waitEverywhere(await operator.change(createFiles(100, 1)));
+    await operator.waitInForceOnAll(await operator.change(createFiles(100, 1)));
     const leaderLoss = await timeLeaderLoss(deployment, operator, 5);
     const backlog = await timeBacklog(deployment, operator);
     return { leaderLoss, backlog };
--- a/packages/bench/src/decisions-bench.ts
+++ b/packages/bench/src/decisions-bench.ts
@@ -62,7 +62,7 @@
     this.count += 1;
     this.now += STEP_MS;
     const callId = `c${this.count}`;
-    const placed = this.ledger.place(this.createNeed(callId), this.now);
+    const placed = this.ledger.place(this.createSpec(callId), this.now);
     this.ledger.recordFirstEvent(callId, this.now + 1);
     this.live.push({ callId, engineId: placed?.engineId ?? 'e0' });
   }
@@ -74,12 +74,12 @@
   }
 
   /** Chooses who takes a run over. */
-  public chooseTaker(): void {
+  public chooseTargetEngine(): void {
     const moved = this.live[Math.floor(this.random.next() * this.live.length)]!;
     this.ledger.reassignBackup(moved.callId, moved.engineId, [], this.now);
   }
 
-  private createNeed(callId: string): routing.PlacementSpec {
+  private createSpec(callId: string): routing.PlacementSpec {
     const zone = Math.floor(this.random.next() * AVAILABILITY_ZONES.length);
     return {
       callId,
@@ -110,7 +110,7 @@
   while (performance.now() < end) {
     spent.place += time(() => pool.place());
     spent.release += time(() => pool.release());
-    spent.taker += time(() => pool.chooseTaker());
+    spent.taker += time(() => pool.chooseTargetEngine());
     rounds += 1;
   }
   const getUs = (ms: number) => Number(((ms * 1_000) / rounds).toFixed(1));
--- a/packages/bench/src/deployment.ts
+++ b/packages/bench/src/deployment.ts
@@ -40,8 +40,8 @@
   public daemons: DeployedDaemon[] = [];
   public upstreams: schemas.Upstream[] = [];
   public platformUrl = '';
-  private fakes: children.Child | undefined;
-  private held: fakes.HeldPorts | undefined;
+  private fakesProcess: children.Child | undefined;
+  private reservedPorts: fakes.HeldPorts | undefined;
 
   public constructor(private readonly shape: DeploymentShape) {}
 
@@ -86,7 +86,9 @@
   }
 
   /** Runs the operator's program. */
-  public ctl(...args: string[]): Promise<{ code: number | null; stdout: string; stderr: string }> {
+  public runCtl(
+    ...args: string[]
+  ): Promise<{ code: number | null; stdout: string; stderr: string }> {
     return children.runProgram([children.getProgram('cli', 'bramleyctl.js'), ...args], {
       BRAMLEYRIDGE_URL: this.listUrls().join(','),
       BRAMLEYRIDGE_TOKEN: OPERATOR_TOKEN,
@@ -94,8 +96,8 @@
   }
 
   /** Runs the operator's program, and fails when it does. */
-  public async mustCtl(...args: string[]): Promise<string> {
-    const { code, stdout, stderr } = await this.ctl(...args);
+  public async runCtlOrThrow(...args: string[]): Promise<string> {
+    const { code, stdout, stderr } = await this.runCtl(...args);
     if (code !== 0) {
       throw new Error(`bramleyctl ${args.join(' ')} ended with ${code}: ${stderr}${stdout}`);
     }
@@ -104,22 +106,24 @@
 
   /** Plans and confirms a folder, and waits until it is in force everywhere. */
   public async apply(folder: string): Promise<number> {
-    const planned = JSON.parse(await this.mustCtl('plan', '-f', folder, '--json')) as {
+    const planned = JSON.parse(await this.runCtlOrThrow('plan', '-f', folder, '--json')) as {
       plan: schemas.Plan;
     };
-    const confirmed = JSON.parse(await this.mustCtl('confirm', planned.plan.planId, '--json')) as {
+    const confirmed = JSON.parse(
+      await this.runCtlOrThrow('confirm', planned.plan.planId, '--json'),
+    ) as {
       revision: number;
     };
-    await this.mustCtl('status', '--wait', String(confirmed.revision));
+    await this.runCtlOrThrow('status', '--wait', String(confirmed.revision));
     return confirmed.revision;
   }
 
   /** Waits until every daemon says that it is ready. */
   public async waitReady(timeoutMs: number): Promise<void> {
-    const end = Date.now() + timeoutMs;
+    const deadline = Date.now() + timeoutMs;
     for (const url of this.listUrls()) {
       while (!(await isReady(url))) {
-        if (Date.now() > end) {
+        if (Date.now() > deadline) {
           throw new Error(`${url} is not ready after ${timeoutMs} ms`);
         }
         await pause(50);
@@ -129,16 +133,16 @@
 
   /** Stops every daemon gracefully; gives their exit codes. */
   public async stopDaemons(): Promise<(number | null)[]> {
-    const running = this.daemons.filter((daemon) => !daemon.child.isEnded());
+    const running = this.daemons.filter((daemon) => !daemon.child.hasExited());
     return Promise.all(running.map((daemon) => daemon.child.stop()));
   }
 
   /** Ends whatever is left. */
   public async end(): Promise<void> {
-    const left = this.daemons.filter((daemon) => !daemon.child.isEnded());
+    const left = this.daemons.filter((daemon) => !daemon.child.hasExited());
     await Promise.all(left.map((daemon) => daemon.child.kill()));
-    await this.fakes?.kill();
-    this.held?.release();
+    await this.fakesProcess?.kill();
+    this.reservedPorts?.release();
   }
 
   private async startFakes(): Promise<void> {
@@ -158,8 +162,8 @@
     };
     fs.writeFileSync(file, JSON.stringify(cfg));
     const program = children.getProgram('fakes', 'fakes-main.js');
-    this.fakes = new children.Child([program, file], path.join(folder, 'fakes.log'));
-    const started = JSON.parse(await this.fakes.getFirstLine()) as {
+    this.fakesProcess = new children.Child([program, file], path.join(folder, 'fakes.log'));
+    const started = JSON.parse(await this.fakesProcess.getFirstLine()) as {
       platformUrl: string;
       upstreams: schemas.Upstream[];
     };
@@ -169,8 +173,8 @@
 
   private async createEntries(): Promise<schemas.DaemonEntry[]> {
     const { daemonsPerZone, voters, zones } = this.shape;
-    this.held = await fakes.HeldPorts.take(2 * zones.length * daemonsPerZone);
-    const ports = this.held.list();
+    this.reservedPorts = await fakes.HeldPorts.take(2 * zones.length * daemonsPerZone);
+    const ports = this.reservedPorts.list();
     return Array.from({ length: daemonsPerZone }, (_, row) =>
       zones.map((availabilityZone, column) => {
         const index = row * zones.length + column;
--- a/packages/bench/src/grants-bench.ts
+++ b/packages/bench/src/grants-bench.ts
@@ -190,7 +190,7 @@
   const rows = SIZES.map(measure);
   const bytes = measureBytes();
   const claims = claimsMeasure.measureClaims();
-  const watch = await watchMeasure.measureWatch();
+  const watch = await watchMeasure.measureReportReads();
   reports.writeResults('grants', { rows, bytes, claims, watch }, [
     reports.createSection(
       'A pool owner by size',
--- a/packages/bench/src/headline.ts
+++ b/packages/bench/src/headline.ts
@@ -27,7 +27,7 @@
   };
 }
 
-const PLAIN = ['round-robin', 'least-outstanding', 'least-memory', 'two-choices'];
+const BASELINE_POLICIES = ['round-robin', 'least-outstanding', 'least-memory', 'two-choices'];
 
 function* listPolicy(): Generator<reports.TableRow> {
   const policy = reports.findResults<{ loads: PolicyRow[] }>('policy');
@@ -36,7 +36,8 @@
       continue;
     }
     const rivals = policy!.loads.filter(
-      (row) => row.user === own.user && row.load === own.load && PLAIN.includes(row.policy),
+      (row) =>
+        row.user === own.user && row.load === own.load && BASELINE_POLICIES.includes(row.policy),
     );
     const best = (key: string) => Math.min(...rivals.map((row) => row.mean[key] ?? Infinity));
     const goodput = Math.max(...rivals.map((row) => row.mean.goodputPerS ?? 0));
@@ -163,7 +164,7 @@
 }
 
 /** One table of every headline figure that was measured, with its aim. */
-export function createHeadlines(): string {
+export function createHeadlineTable(): string {
   const rows = [...listPolicy(), ...listRelay(), ...listGrants(), ...listControl()];
   return reports.createSection('Where the project stands', rows);
 }
--- a/packages/bench/src/known-red.ts
+++ b/packages/bench/src/known-red.ts
@@ -18,7 +18,7 @@
   /** Failed assertions that count. */
   readonly failed: number;
   /** The names of the tests that failed and are listed. */
-  readonly passedOver: readonly string[];
+  readonly knownFailures: readonly string[];
 }
 
 interface FailedTest {
@@ -52,14 +52,14 @@
   const names = new Set(
     knownRed.filter(({ file }) => isSameFile(run.file, file)).map(({ test }) => test),
   );
-  const passedOver = failures.filter(({ name }) => names.has(name));
+  const knownFailures = failures.filter(({ name }) => names.has(name));
   const counted = failures.filter(({ name }) => !names.has(name));
   const hasEnded = isComplete && run.code !== null;
   const isExplained = run.code === 0 || failures.length > 0;
   const failed = counted.reduce((sum, item) => sum + item.failed, 0);
   return {
     failed: hasEnded && isExplained ? failed : Math.max(1, failed),
-    passedOver: passedOver.map(({ name }) => name),
+    knownFailures: knownFailures.map(({ name }) => name),
   };
 }
 
--- a/packages/bench/src/policy/baselines.ts
+++ b/packages/bench/src/policy/baselines.ts
@@ -3,7 +3,7 @@
 import type * as traces from './trace.js';
 
 /** What a daemon that routes by itself knows of an engine. */
-export interface Seen {
+export interface EngineView {
   readonly upstreamId: string;
   /** What this daemon itself has there now. */
   outstanding: number;
@@ -14,10 +14,10 @@
 
 /** A way for every daemon to choose an engine at once, as common load balancers do. */
 export interface Baseline {
-  choose(seen: readonly Seen[], random: traces.Random): Seen;
+  choose(seen: readonly EngineView[], random: traces.Random): EngineView;
 }
 
-function getShare(item: Seen): number {
+function getLoadEstimate(item: EngineView): number {
   if (item.report === undefined) {
     return item.outstanding;
   }
@@ -25,7 +25,10 @@
   return (item.report.tokensUsed + waiting + item.sentSince) / item.report.tokensTotal;
 }
 
-function least(seen: readonly Seen[], getLoad: (item: Seen) => number): Seen {
+function findMinimum(
+  seen: readonly EngineView[],
+  getLoad: (item: EngineView) => number,
+): EngineView {
   return seen.reduce((best, item) => (getLoad(item) < getLoad(best) ? item : best));
 }
 
@@ -33,7 +36,7 @@
 export class RoundRobin implements Baseline {
   private next = 0;
 
-  public choose(seen: readonly Seen[]): Seen {
+  public choose(seen: readonly EngineView[]): EngineView {
     this.next += 1;
     return seen[this.next % seen.length]!;
   }
@@ -41,26 +44,26 @@
 
 /** The engine on which this daemon has the least outstanding. */
 export class LeastOutstanding implements Baseline {
-  public choose(seen: readonly Seen[], random: traces.Random): Seen {
+  public choose(seen: readonly EngineView[], random: traces.Random): EngineView {
     const start = random.between(0, seen.length - 1);
     const turned = [...seen.slice(start), ...seen.slice(0, start)];
-    return least(turned, (item) => item.outstanding);
+    return findMinimum(turned, (item) => item.outstanding);
   }
 }
 
 /** The engine that last reported the least memory in use. */
 export class LeastReportedMemory implements Baseline {
-  public choose(seen: readonly Seen[]): Seen {
-    return least(seen, getShare);
+  public choose(seen: readonly EngineView[]): EngineView {
+    return findMinimum(seen, getLoadEstimate);
   }
 }
 
 /** The better of two at random, by report and what was sent since. */
 export class PowerOfTwo implements Baseline {
-  public choose(seen: readonly Seen[], random: traces.Random): Seen {
+  public choose(seen: readonly EngineView[], random: traces.Random): EngineView {
     const first = seen[random.between(0, seen.length - 1)]!;
     const second = seen[random.between(0, seen.length - 1)]!;
-    return getShare(second) < getShare(first) ? second : first;
+    return getLoadEstimate(second) < getLoadEstimate(first) ? second : first;
   }
 }
 
--- a/packages/bench/src/policy/measures.ts
+++ b/packages/bench/src/policy/measures.ts
@@ -4,10 +4,10 @@
 const STALL_MS = 100;
 
 /** Histograms hold tenths of a millisecond. */
-const SCALE = 10;
+const UNITS_PER_MS = 10;
 
 /** What one replay measured; times in milliseconds. */
-export interface Measured {
+export interface ReplayMeasurements {
   readonly completed: number;
   readonly preemptionsPer1000: number;
   readonly stallMeanMs: number;
@@ -31,7 +31,7 @@
 }
 
 /** One request under way in a replay. */
-export interface Flight {
+export interface RequestInFlight {
   readonly team: string;
   readonly isShort: boolean;
   readonly arrivedAt: number;
@@ -69,7 +69,7 @@
   ) {}
 
   /** One token of a request. */
-  public token(flight: Flight, now: number): void {
+  public recordToken(flight: RequestInFlight, now: number): void {
     const gap = now - flight.lastAt;
     flight.lastAt = now;
     flight.tokens += 1;
@@ -80,44 +80,44 @@
       return;
     }
     if (flight.tokens === 1) {
-      this.first.recordValue(Math.round(gap * SCALE));
+      this.first.recordValue(Math.round(gap * UNITS_PER_MS));
       return;
     }
-    this.gaps.recordValue(Math.round(gap * SCALE));
+    this.gaps.recordValue(Math.round(gap * UNITS_PER_MS));
     flight.stallMs += Math.max(0, gap - STALL_MS);
   }
 
   /** The end of a request. */
-  public end(flight: Flight, now: number): void {
+  public recordEnd(flight: RequestInFlight, now: number): void {
     if (!flight.isMeasured) {
       return;
     }
     this.completed += 1;
     const whole = flight.isShort ? this.short : this.long;
-    whole.recordValue(Math.round((now - flight.arrivedAt) * SCALE));
-    this.stalls.recordValue(Math.round(flight.stallMs * SCALE));
+    whole.recordValue(Math.round((now - flight.arrivedAt) * UNITS_PER_MS));
+    this.stalls.recordValue(Math.round(flight.stallMs * UNITS_PER_MS));
     this.stallSum += flight.stallMs;
   }
 
   /** A preemption of a request. */
-  public preempt(flight: Flight): void {
+  public recordPreemption(flight: RequestInFlight): void {
     this.preemptions += flight.isMeasured ? 1 : 0;
   }
 
   /** A refusal. */
-  public refuse(flight: Flight): void {
+  public recordRefusal(flight: RequestInFlight): void {
     this.refused += flight.isMeasured ? 1 : 0;
   }
 
   /** A request that was lost with its engine after it had delivered something. */
-  public break(flight: Flight): void {
+  public recordBreak(flight: RequestInFlight): void {
     this.broken += flight.isMeasured ? 1 : 0;
   }
 
   /** Everything, with fairness against what each team should have got. */
-  public summarize(getFair: (total: number) => ReadonlyMap<string, number>): Measured {
+  public summarize(getFair: (total: number) => ReadonlyMap<string, number>): ReplayMeasurements {
     const at = (histogram: hdr.Histogram, percentile: number) =>
-      histogram.getValueAtPercentile(percentile) / SCALE;
+      histogram.getValueAtPercentile(percentile) / UNITS_PER_MS;
     const total = [...this.served.values()].reduce((sum, tokens) => sum + tokens, 0);
     return {
       completed: this.completed,
@@ -134,18 +134,18 @@
       shortP50Ms: at(this.short, 50),
       shortP99Ms: at(this.short, 99),
       longP50Ms: at(this.long, 50),
-      longMeanMs: this.long.mean / SCALE,
+      longMeanMs: this.long.mean / UNITS_PER_MS,
       longP99Ms: at(this.long, 99),
       refused: this.refused,
       goodputPerS: (1_000 * total) / (this.to - this.from),
-      fairness: getJain(this.served, getFair(total)),
+      fairness: getJainIndex(this.served, getFair(total)),
       broken: this.broken,
     };
   }
 }
 
 /** Jain's index of what teams got relative to what they should have got. */
-export function getJain(
+export function getJainIndex(
   served: ReadonlyMap<string, number>,
   fair: ReadonlyMap<string, number>,
 ): number {
--- a/packages/bench/src/policy/policy-bench.ts
+++ b/packages/bench/src/policy/policy-bench.ts
@@ -14,10 +14,10 @@
 const WARMUP_S = 100;
 
 /** Far beyond what four engines can do, to find out what they can. */
-const FLOOD_FACTOR = 2;
+const OVERLOAD_FACTOR = 2;
 
 /** The rate from which the flood starts, in requests a second, by user. */
-const FLOOD_RATES: Readonly<Record<string, number>> = { kalahari: 18, 'exit-survey': 8 };
+const OVERLOAD_BASE_RATES: Readonly<Record<string, number>> = { kalahari: 18, 'exit-survey': 8 };
 
 /** The dials that ship as defaults, chosen from the curve below. */
 export const DEFAULT_RISKS: Readonly<Record<string, number>> = {
@@ -35,14 +35,14 @@
 ];
 
 /** The mean of some replays of one cell. */
-export type Cell = Record<keyof measures.Measured, number>;
+export type MeanMeasurements = Record<keyof measures.ReplayMeasurements, number>;
 
 interface Row {
   readonly user: string;
   readonly load: number;
   readonly fault: string;
   readonly policy: string;
-  readonly mean: Cell;
+  readonly mean: MeanMeasurements;
 }
 
 const program = new URL('./policy-worker.js', import.meta.url);
@@ -50,24 +50,24 @@
 function listPolicies(user: string): replays.ReplayPolicy[] {
   const plain = ['round-robin', 'least-outstanding', 'least-memory', 'two-choices'];
   return [
-    ...plain.map((name) => ({ name, baseline: name, tellsClass: false })),
+    ...plain.map((name) => ({ name, baseline: name, sendsClass: false })),
     ...['least-memory', 'two-choices'].map((baseline) => ({
       name: `${baseline}+class`,
       baseline,
-      tellsClass: true,
+      sendsClass: true,
     })),
-    { name: 'pool-owner', overflowRisk: DEFAULT_RISKS[user] ?? 0.05, tellsClass: true },
-    { name: 'oracle', overflowRisk: 0.5, isOracle: true, tellsClass: true },
+    { name: 'pool-owner', overflowRisk: DEFAULT_RISKS[user] ?? 0.05, sendsClass: true },
+    { name: 'oracle', overflowRisk: 0.5, isOracle: true, sendsClass: true },
   ];
 }
 
-function average(list: readonly measures.Measured[]): Cell {
-  const keys = Object.keys(list[0] ?? {}) as (keyof measures.Measured)[];
+function average(list: readonly measures.ReplayMeasurements[]): MeanMeasurements {
+  const keys = Object.keys(list[0] ?? {}) as (keyof measures.ReplayMeasurements)[];
   const entries = keys.map((key) => {
     const sum = list.reduce((total, item) => total + item[key], 0);
     return [key, Number((sum / list.length).toPrecision(5))];
   });
-  return Object.fromEntries(entries) as Cell;
+  return Object.fromEntries(entries) as MeanMeasurements;
 }
 
 interface Plan {
@@ -91,7 +91,10 @@
       warmupS: WARMUP_S,
     })),
   );
-  const results = await pools.runJobs<workers.PolicyJob, measures.Measured>(program, jobs);
+  const results = await pools.runJobs<workers.PolicyJob, measures.ReplayMeasurements>(
+    program,
+    jobs,
+  );
   return plans.map((plan, i) => ({
     user: plan.user,
     load: plan.load,
@@ -103,11 +106,11 @@
 
 /** Capacity: the requests a second of the mix that the oracle gets through when flooded. */
 async function findCapacities(): Promise<Map<string, number>> {
-  const oracle = { name: 'oracle', overflowRisk: 0.5, isOracle: true, tellsClass: true };
+  const oracle = { name: 'oracle', overflowRisk: 0.5, isOracle: true, sendsClass: true };
   const jobs = traces.MIXES.flatMap(({ user }) =>
     SEEDS.map((seed) => ({
       user,
-      rate: FLOOD_FACTOR * (FLOOD_RATES[user] ?? 10),
+      rate: OVERLOAD_FACTOR * (OVERLOAD_BASE_RATES[user] ?? 10),
       seed,
       engines: ENGINES,
       durationS: DURATION_S,
@@ -116,7 +119,10 @@
       policy: oracle,
     })),
   );
-  const results = await pools.runJobs<workers.PolicyJob, measures.Measured>(program, jobs);
+  const results = await pools.runJobs<workers.PolicyJob, measures.ReplayMeasurements>(
+    program,
+    jobs,
+  );
   return new Map(
     traces.MIXES.map((mix, i) => {
       const own = results.slice(i * SEEDS.length, (i + 1) * SEEDS.length);
@@ -212,7 +218,7 @@
           user,
           load,
           fault: 'none' as const,
-          policy: { name: `risk ${overflowRisk}`, overflowRisk, tellsClass: true },
+          policy: { name: `risk ${overflowRisk}`, overflowRisk, sendsClass: true },
         })),
       ),
     ),
--- a/packages/bench/src/policy/replay.ts
+++ b/packages/bench/src/policy/replay.ts
@@ -9,19 +9,19 @@
 import * as traces from './trace.js';
 
 /** The time of one message between daemons, or to an engine, in milliseconds. */
-const MESSAGE_MS = 1;
+const MESSAGE_DELAY_MS = 1;
 
 /** How often daemons tell the owner of progress, and the owner looks at its queue, in milliseconds. */
-const PROGRESS_MS = 2_000;
-const TICK_MS = 100;
+const PROGRESS_INTERVAL_MS = 2_000;
+const TICK_INTERVAL_MS = 100;
 
 /** How long a daemon waits before it asks again, in milliseconds. */
-const ASK_AGAIN_MS = 500;
+const RETRY_DELAY_MS = 500;
 
 /** How long a moved pool is without an owner, in milliseconds. */
-const OWNER_GAP_MS = 3_000;
+const OWNER_FAILOVER_MS = 3_000;
 
-const DAEMONS = 6;
+const DAEMON_COUNT = 6;
 
 /** A fault in a replay. */
 export type ReplayFault =
@@ -46,7 +46,7 @@
   /** The name of a baseline; none for the pool owner. */
   readonly baseline?: string;
   /** Whether engines are told the class of a request, and so serve interactive work first. */
-  readonly tellsClass: boolean;
+  readonly sendsClass: boolean;
   readonly overflowRisk?: number;
   readonly isOracle?: boolean;
 }
@@ -55,7 +55,7 @@
   readonly id: string;
   readonly line: traces.TraceLine;
   readonly daemon: number;
-  readonly flight: measures.Flight;
+  readonly flight: measures.RequestInFlight;
   engine: simEngines.SimEngine | undefined;
 }
 
@@ -65,12 +65,12 @@
   private readonly recorder: measures.Recorder;
   private readonly random: traces.Random;
   private readonly engines: simEngines.SimEngine[];
-  private readonly seen: baselines.Seen[][];
+  private readonly views: baselines.EngineView[][];
   private readonly jobs = new Map<string, Job>();
   private readonly endMs: number;
   private readonly demands = new Map<string, number>();
   private owner: routing.PoolOwner | undefined;
-  private isOwnerAway = false;
+  private isOwnerDown = false;
   private readonly baseline: baselines.Baseline | undefined;
 
   public constructor(
@@ -84,10 +84,10 @@
       { length: options.engines },
       (_, i) =>
         new simEngines.SimEngine(`e${i}`, this.clock, (engine, report) => {
-          this.takeReport(engine, report);
+          this.handleReport(engine, report);
         }),
     );
-    this.seen = Array.from({ length: DAEMONS }, () =>
+    this.views = Array.from({ length: DAEMON_COUNT }, () =>
       this.engines.map(({ upstreamId }) => ({
         upstreamId,
         outstanding: 0,
@@ -102,7 +102,7 @@
   }
 
   /** Runs to the end and gives what was measured. */
-  public run(): measures.Measured {
+  public run(): measures.ReplayMeasurements {
     const { options } = this;
     options.trace.forEach((line, i) => {
       const at = (line.arrival / options.rate) * 1_000;
@@ -111,8 +111,8 @@
       }
     });
     this.injectFault();
-    this.keepProgress();
-    this.keepTicking();
+    this.scheduleProgress();
+    this.scheduleTicks();
     // What arrived is followed to its end, so that slow policies can't hide what they held back.
     const limit = 4 * this.endMs;
     this.clock.run(() => {
@@ -134,8 +134,8 @@
   private arrive(line: traces.TraceLine, i: number): void {
     const now = this.clock.now();
     const isMeasured = now >= this.options.warmupS * 1_000;
-    const shifted = this.shift(line, now);
-    const flight: measures.Flight = {
+    const shifted = this.applyMixShift(line, now);
+    const flight: measures.RequestInFlight = {
       team: line.team,
       isShort: line.class === 'interactive',
       arrivedAt: now,
@@ -147,18 +147,24 @@
     if (isMeasured) {
       this.demands.set(line.team, (this.demands.get(line.team) ?? 0) + shifted.outputTokens);
     }
-    const job: Job = { id: `g${i}`, line: shifted, daemon: i % DAEMONS, flight, engine: undefined };
+    const job: Job = {
+      id: `g${i}`,
+      line: shifted,
+      daemon: i % DAEMON_COUNT,
+      flight,
+      engine: undefined,
+    };
     this.jobs.set(job.id, job);
     if (this.baseline !== undefined) {
       this.dispatchByBaseline(job, this.baseline);
     } else {
-      this.clock.after(MESSAGE_MS, () => this.askOwner(job, 0));
+      this.clock.after(MESSAGE_DELAY_MS, () => this.requestGrant(job, 0));
     }
   }
 
-  private askOwner(job: Job, waitedMs: number): void {
-    if (this.isOwnerAway || this.owner === undefined) {
-      this.clock.after(ASK_AGAIN_MS, () => this.askOwner(job, waitedMs + ASK_AGAIN_MS));
+  private requestGrant(job: Job, waitedMs: number): void {
+    if (this.isOwnerDown || this.owner === undefined) {
+      this.clock.after(RETRY_DELAY_MS, () => this.requestGrant(job, waitedMs + RETRY_DELAY_MS));
       return;
     }
     const { line } = job;
@@ -179,21 +185,23 @@
       (decision) => {
         const engine = this.engines.find((item) => item.upstreamId === decision.upstreamId);
         if (engine === undefined) {
-          this.clock.after(ASK_AGAIN_MS, () => this.askOwner(job, waitedMs));
+          this.clock.after(RETRY_DELAY_MS, () => this.requestGrant(job, waitedMs));
           return;
         }
-        this.clock.after(2 * MESSAGE_MS, () => this.start(job, engine));
+        this.clock.after(2 * MESSAGE_DELAY_MS, () => this.start(job, engine));
       },
     );
   }
 
   private dispatchByBaseline(job: Job, baseline: baselines.Baseline): void {
-    const alive = this.seen[job.daemon]!.filter((item) => !this.findEngine(item.upstreamId).isDead);
+    const alive = this.views[job.daemon]!.filter(
+      (item) => !this.findEngine(item.upstreamId).isDead,
+    );
     const chosen = baseline.choose(alive, this.random);
     chosen.outstanding += 1;
     chosen.sentSince += job.line.promptTokens;
     const engine = this.findEngine(chosen.upstreamId);
-    this.clock.after(MESSAGE_MS, () => this.start(job, engine));
+    this.clock.after(MESSAGE_DELAY_MS, () => this.start(job, engine));
   }
 
   private start(job: Job, engine: simEngines.SimEngine): void {
@@ -207,26 +215,26 @@
       id: job.id,
       promptTokens: line.promptTokens,
       outputTokens: line.outputTokens,
-      priority: !this.policy.tellsClass || line.class === 'interactive' ? 0 : 1,
+      priority: !this.policy.sendsClass || line.class === 'interactive' ? 0 : 1,
       prefix: line.prefix,
       prefixTokens: line.prefixTokens,
-      onToken: () => this.recorder.token(flight, this.clock.now()),
+      onToken: () => this.recorder.recordToken(flight, this.clock.now()),
       onEnd: () => this.end(job, true),
-      onPreempt: () => this.recorder.preempt(flight),
+      onPreempt: () => this.recorder.recordPreemption(flight),
     });
   }
 
   private end(job: Job, isNatural: boolean): void {
     this.jobs.delete(job.id);
     if (isNatural) {
-      this.recorder.end(job.flight, this.clock.now());
+      this.recorder.recordEnd(job.flight, this.clock.now());
     }
     const upstreamId = job.engine?.upstreamId;
-    const seen = this.seen[job.daemon]!.find((item) => item.upstreamId === upstreamId);
+    const seen = this.views[job.daemon]!.find((item) => item.upstreamId === upstreamId);
     if (seen !== undefined) {
       seen.outstanding -= 1;
     }
-    this.clock.after(MESSAGE_MS, () => {
+    this.clock.after(MESSAGE_DELAY_MS, () => {
       this.owner?.finish(job.id, job.flight.tokens, isNatural);
     });
   }
@@ -235,25 +243,25 @@
   private retry(job: Job): void {
     this.end(job, false);
     if (job.flight.tokens > 0) {
-      this.recorder.break(job.flight);
+      this.recorder.recordBreak(job.flight);
       return;
     }
     job.engine = undefined;
     this.jobs.set(job.id, job);
     if (this.baseline === undefined) {
-      this.clock.after(MESSAGE_MS, () => this.askOwner(job, 0));
+      this.clock.after(MESSAGE_DELAY_MS, () => this.requestGrant(job, 0));
     } else {
       this.dispatchByBaseline(job, this.baseline);
     }
   }
 
-  private takeReport(engine: simEngines.SimEngine, report: schemas.LoadReport): void {
-    this.seen.forEach((list) => {
+  private handleReport(engine: simEngines.SimEngine, report: schemas.LoadReport): void {
+    this.views.forEach((list) => {
       const seen = list.find((item) => item.upstreamId === engine.upstreamId)!;
       seen.report = report;
       seen.sentSince = 0;
     });
-    if (!this.isOwnerAway) {
+    if (!this.isOwnerDown) {
       this.owner?.applyReport(engine.upstreamId, report);
     }
   }
@@ -277,24 +285,26 @@
     this.owner?.setUpstreams(alive.map(({ upstreamId }) => ({ upstreamId, isLeaving: false })));
   }
 
-  private keepProgress(): void {
-    if (this.owner !== undefined && !this.isOwnerAway) {
+  private scheduleProgress(): void {
+    if (this.owner !== undefined && !this.isOwnerDown) {
       const { owner } = this;
-      for (let i = 0; i < DAEMONS; i += 1) {
+      for (let i = 0; i < DAEMON_COUNT; i += 1) {
         const tokens = [...this.jobs.values()]
           .filter((job) => job.daemon === i && job.engine !== undefined)
           .map((job): [string, number] => [job.id, job.flight.tokens]);
-        this.clock.after(MESSAGE_MS, () => owner.applyProgress({ daemonId: `d${i}`, tokens }));
+        this.clock.after(MESSAGE_DELAY_MS, () =>
+          owner.applyProgress({ daemonId: `d${i}`, tokens }),
+        );
       }
     }
-    this.clock.after(PROGRESS_MS, () => this.keepProgress());
+    this.clock.after(PROGRESS_INTERVAL_MS, () => this.scheduleProgress());
   }
 
-  private keepTicking(): void {
-    if (!this.isOwnerAway) {
+  private scheduleTicks(): void {
+    if (!this.isOwnerDown) {
       this.owner?.tick();
     }
-    this.clock.after(TICK_MS, () => this.keepTicking());
+    this.clock.after(TICK_INTERVAL_MS, () => this.scheduleTicks());
   }
 
   private injectFault(): void {
@@ -309,14 +319,14 @@
       this.engines.filter((_, i) => i % 3 === 0).forEach((engine) => (engine.extraLagMs = 5_000));
     }
     if (this.options.fault === 'cache-gaps') {
-      this.keepForgetting();
+      this.scheduleCacheLosses();
     }
   }
 
   private killEngine(): void {
     const engine = this.engines[0]!;
     const lost = engine.die();
-    this.clock.after(MESSAGE_MS, () => {
+    this.clock.after(MESSAGE_DELAY_MS, () => {
       this.setUpstreams();
       lost.forEach((id) => {
         const job = this.jobs.get(id);
@@ -332,15 +342,15 @@
     if (this.owner === undefined) {
       return;
     }
-    this.isOwnerAway = true;
+    this.isOwnerDown = true;
     const waiting = [...this.jobs.values()].filter((job) => job.engine === undefined);
-    this.clock.after(OWNER_GAP_MS, () => {
+    this.clock.after(OWNER_FAILOVER_MS, () => {
       this.createOwner();
-      this.isOwnerAway = false;
+      this.isOwnerDown = false;
       this.jobs.forEach((job) => this.register(job));
       waiting
         .filter((job) => job.engine === undefined)
-        .forEach((job) => this.askOwner(job, OWNER_GAP_MS));
+        .forEach((job) => this.requestGrant(job, OWNER_FAILOVER_MS));
     });
   }
 
@@ -362,12 +372,12 @@
     });
   }
 
-  private keepForgetting(): void {
+  private scheduleCacheLosses(): void {
     this.engines.forEach((engine) => this.owner?.affinity.forget(engine.upstreamId));
-    this.clock.after(ASK_AGAIN_MS * this.random.between(1, 20), () => this.keepForgetting());
+    this.clock.after(RETRY_DELAY_MS * this.random.between(1, 20), () => this.scheduleCacheLosses());
   }
 
-  private shift(line: traces.TraceLine, now: number): traces.TraceLine {
+  private applyMixShift(line: traces.TraceLine, now: number): traces.TraceLine {
     const isShifted =
       this.options.fault === 'mix-shifts' &&
       line.class === 'batch' &&
--- a/packages/bench/src/policy/sim-engine.ts
+++ b/packages/bench/src/policy/sim-engine.ts
@@ -4,7 +4,7 @@
 import type * as simClocks from './sim-clock.js';
 
 /** How often an engine makes a load report, and how late it is read, in milliseconds. */
-const REPORT_EVERY_MS = 500;
+const REPORT_INTERVAL_MS = 500;
 const REPORT_LAG_MS = 200;
 
 /** One engine on virtual time. */
@@ -22,7 +22,7 @@
     private readonly onReport: (engine: SimEngine, report: schemas.LoadReport) => void,
   ) {
     this.model = new fakes.EngineModel();
-    this.keepReporting();
+    this.scheduleReports();
   }
 
   /** Takes in a job. */
@@ -59,7 +59,7 @@
     });
   }
 
-  private keepReporting(): void {
+  private scheduleReports(): void {
     const report: schemas.LoadReport = {
       at: this.clock.now(),
       ageMs: REPORT_LAG_MS + this.extraLagMs,
@@ -72,7 +72,7 @@
     };
     if (!this.isDead) {
       this.clock.after(report.ageMs, () => this.onReport(this, report));
-      this.clock.after(REPORT_EVERY_MS, () => this.keepReporting());
+      this.clock.after(REPORT_INTERVAL_MS, () => this.scheduleReports());
     }
   }
 }
--- a/packages/bench/src/policy/trace.ts
+++ b/packages/bench/src/policy/trace.ts
@@ -116,7 +116,7 @@
   },
 ];
 
-const MAX_OUTPUT = 24_000;
+const MAX_OUTPUT_TOKENS = 24_000;
 
 /** A seeded source of random numbers. */
 export class Random {
@@ -162,7 +162,7 @@
       promptTokens: random.between(kind.prompt[0], kind.prompt[1]),
       prefix: `${kind.kind}-${random.between(1, kind.prefixes)}`,
       prefixTokens: kind.prefixTokens,
-      outputTokens: Math.max(1, Math.min(MAX_OUTPUT, length)),
+      outputTokens: Math.max(1, Math.min(MAX_OUTPUT_TOKENS, length)),
     };
   });
 }
--- a/packages/bench/src/quickstart.ts
+++ b/packages/bench/src/quickstart.ts
@@ -8,21 +8,21 @@
 
 const ZONES = ['windhoek-a', 'windhoek-b', 'windhoek-c'];
 const EXAMPLES = url.fileURLToPath(new URL('../../../../examples/kalahari', import.meta.url));
-const CONFIRMS = 6;
+const CONFIRM_COUNT = 6;
 
 interface Row {
   readonly what: string;
-  readonly checked: answers.Checked;
+  readonly checked: answers.CheckResult;
   readonly ms: number;
 }
 
-function say(text: string): void {
+function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-async function timed(what: string, work: Promise<answers.Checked>): Promise<Row> {
+async function timed(what: string, work: Promise<answers.CheckResult>): Promise<Row> {
   const at = performance.now();
-  const checked = await work.catch((err: Error): answers.Checked => ({
+  const checked = await work.catch((err: Error): answers.CheckResult => ({
     kind: 'broken',
     tokens: 0,
     detail: err.message,
@@ -51,12 +51,12 @@
     const body = createBody(i, lengths[i % lengths.length] ?? 12);
     return i % 4 < 2
       ? timed('streamed', answers.checkStream(target, token, body))
-      : timed('whole', answers.checkWhole(target, token, body));
+      : timed('whole', answers.checkBuffered(target, token, body));
   });
   return Promise.all(jobs);
 }
 
-async function confirmOnce(target: string, booking: string): Promise<answers.Checked> {
+async function confirmOnce(target: string, booking: string): Promise<answers.CheckResult> {
   const send = () =>
     fetch(`${target}/services/booking/confirms`, {
       method: 'POST',
@@ -74,7 +74,7 @@
   return { kind: isOnce ? 'complete' : 'broken', tokens: 0, detail: `${second.status} ${count}` };
 }
 
-async function checkPlace(target: string): Promise<answers.Checked> {
+async function checkZoneRefusal(target: string): Promise<answers.CheckResult> {
   const res = await fetch(`${target}/v1/chat/completions`, {
     method: 'POST',
     redirect: 'manual',
@@ -88,7 +88,7 @@
 
 function printTable(rows: readonly Row[]): void {
   const kinds = [...new Set(rows.map((row) => row.what))];
-  say(
+  printLine(
     `${'what'.padEnd(26)}${'requests'.padStart(9)}${'tokens'.padStart(8)}${'p50 ms'.padStart(8)}`,
   );
   kinds.forEach((what) => {
@@ -99,26 +99,26 @@
     const cells = [own.length, tokens, p50].map((cell, i) =>
       String(cell).padStart(i === 0 ? 9 : 8),
     );
-    say(`${what.padEnd(26)}${cells.join('')}`);
+    printLine(`${what.padEnd(26)}${cells.join('')}`);
   });
   rows
     .filter((row) => row.checked.kind === 'broken')
-    .forEach((row) => say(`BROKEN ${row.what}: ${row.checked.detail.slice(0, 300)}`));
+    .forEach((row) => printLine(`BROKEN ${row.what}: ${row.checked.detail.slice(0, 300)}`));
 }
 
 function printHowToTry(deployment: deployments.Deployment, folder: string): void {
-  say('');
-  say('It is running. Try:');
-  say(`  export BRAMLEYRIDGE_URL=${deployment.listUrls().join(',')}`);
-  say(`  export BRAMLEYRIDGE_TOKEN=${deployments.OPERATOR_TOKEN}`);
-  say('  node packages/cli/dist/src/bramleyctl.js status');
-  say(
+  printLine('');
+  printLine('It is running. Try:');
+  printLine(`  export BRAMLEYRIDGE_URL=${deployment.listUrls().join(',')}`);
+  printLine(`  export BRAMLEYRIDGE_TOKEN=${deployments.OPERATOR_TOKEN}`);
+  printLine('  node packages/cli/dist/src/bramleyctl.js status');
+  printLine(
     `  curl -N ${deployment.getUrl(0)}/v1/chat/completions -H 'Authorization: Bearer example-token-sales' \\`,
   );
-  say(
+  printLine(
     `    -d '{"model":"spot-drafter","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"Log"}]}'`,
   );
-  say(`Logs are in ${folder}. Ctrl-C ends it.`);
+  printLine(`Logs are in ${folder}. Ctrl-C ends it.`);
 }
 
 async function main(): Promise<void> {
@@ -138,20 +138,20 @@
   });
   let rows: Row[] = [];
   try {
-    say('starting 3 zones, 6 daemons (3 of them voters), 6 engines, 3 booking services');
+    printLine('starting 3 zones, 6 daemons (3 of them voters), 6 engines, 3 booking services');
     await deployment.start();
     await deployment.waitReady(20_000);
-    say('bramleyctl validate, plan, confirm, status --wait');
-    say((await deployment.mustCtl('validate', '-f', EXAMPLES)).trim());
+    printLine('bramleyctl validate, plan, confirm, status --wait');
+    printLine((await deployment.runCtlOrThrow('validate', '-f', EXAMPLES)).trim());
     const revision = await deployment.apply(EXAMPLES);
-    say(`revision ${revision} is in force on every host; sending requests`);
+    printLine(`revision ${revision} is in force on every host; sending requests`);
     rows = await sendMix(deployment.listUrls());
-    const bookings = Array.from({ length: CONFIRMS }, (_, i) => `booking-${i}`);
+    const bookings = Array.from({ length: CONFIRM_COUNT }, (_, i) => `booking-${i}`);
     const confirms = bookings.map((booking, i) =>
       timed('confirm, sent twice', confirmOnce(deployment.getUrl(i % 6), booking)),
     );
     rows.push(...(await Promise.all(confirms)));
-    rows.push(await timed('refused: wrong zone', checkPlace(deployment.getUrl(2))));
+    rows.push(await timed('refused: wrong zone', checkZoneRefusal(deployment.getUrl(2))));
     if (wantsStay) {
       printTable(rows);
       printHowToTry(deployment, folder);
@@ -160,7 +160,7 @@
       });
       return;
     }
-    say('stopping every daemon gracefully while long generations run');
+    printLine('stopping every daemon gracefully while long generations run');
     const long = deployment
       .listUrls()
       .map((target) =>
@@ -181,7 +181,7 @@
     await deployment.end();
   }
   const count = (kind: string) => rows.filter((row) => row.checked.kind === kind).length;
-  say(
+  printLine(
     `quickstart: ${rows.length} requests, ${count('complete')} complete, ` +
       `${count('refused')} refused, ${count('broken')} broken`,
   );
--- a/packages/bench/src/relay/load-main.ts
+++ b/packages/bench/src/relay/load-main.ts
@@ -12,7 +12,7 @@
   readonly measureMs: number;
 }
 
-const MICROS = 1_000;
+const US_PER_MS = 1_000;
 
 const options = JSON.parse(process.argv[2] ?? '{}') as LoadOptions;
 const delays = hdr.build({ lowestDiscernibleValue: 1, highestTrackableValue: 60_000_000 });
@@ -22,7 +22,7 @@
 let failed = 0;
 let isMeasuring = false;
 
-function take(part: Buffer): void {
+function recordTokens(part: Buffer): void {
   if (!isMeasuring) {
     return;
   }
@@ -32,12 +32,12 @@
     tokens += 1;
     const sent = Number(text.slice(from + 4, text.indexOf('}', from)));
     if (Number.isFinite(sent)) {
-      delays.recordValue(Math.max(1, Math.round((at - sent) * MICROS)));
+      delays.recordValue(Math.max(1, Math.round((at - sent) * US_PER_MS)));
     }
   }
 }
 
-function open(): void {
+function openStream(): void {
   const seconds = (options.warmupMs + options.measureMs) / 1_000 + 5;
   const count = Math.ceil(options.rate * seconds);
   const body = JSON.stringify({
@@ -64,7 +64,7 @@
       if (res.statusCode !== 200) {
         failed += 1;
       }
-      res.on('data', take);
+      res.on('data', recordTokens);
       res.on('error', () => {});
     },
   );
@@ -81,7 +81,7 @@
       setTimeout(resolve, ms);
     });
   for (let i = 0; i < options.streams; i += 1) {
-    open();
+    openStream();
     if (i % 20 === 19) {
       await wait(20);
     }
--- a/packages/bench/src/relay/source-main.ts
+++ b/packages/bench/src/relay/source-main.ts
@@ -54,7 +54,7 @@
   });
 }
 
-function begin(req: http.IncomingMessage, res: http.ServerResponse, text: string): void {
+function startStream(req: http.IncomingMessage, res: http.ServerResponse, text: string): void {
   const body = JSON.parse(text) as Body;
   res.writeHead(200, { 'content-type': 'text/event-stream' });
   const everyMs = 1_000 / (body.source_rate ?? 50);
@@ -105,7 +105,7 @@
   req.on('data', (part: Buffer) => {
     text += part.toString('utf8');
   });
-  req.on('end', () => (req.method === 'POST' ? begin(req, res, text) : res.end('{}')));
+  req.on('end', () => (req.method === 'POST' ? startStream(req, res, text) : res.end('{}')));
 });
 server.on('connection', (socket) => socket.setNoDelay(true));
 setInterval(tick, TICK_MS);
--- a/packages/bench/src/watch-measure.ts
+++ b/packages/bench/src/watch-measure.ts
@@ -6,20 +6,20 @@
 
 import * as children from './child.js';
 
-const POLL_COUNTS = [2_000, 4_000, 8_000] as const;
+const READ_COUNTS = [2_000, 4_000, 8_000] as const;
 
 /** Reads before the measurement, until the code is compiled. */
-const WARM_UP = 3_000;
-const AT_ONCE = 10;
+const WARM_UP_READS = 3_000;
+const CONCURRENT_READS = 10;
 
 /** What reading load reports costs the reader. */
-export interface WatchRow {
+export interface ReportReadRow {
   readonly reports: number;
   readonly cpuUsPerReport: number;
 }
 
 /** Processor time for each load report that a pool owner reads, from a server in another process. */
-export async function measureWatch(): Promise<WatchRow[]> {
+export async function measureReportReads(): Promise<ReportReadRow[]> {
   const log = path.join(os.tmpdir(), `bramleyridge-watch-${process.pid}.log`);
   const source = new children.Child([children.getProgram('bench', 'relay/source-main.js')], log);
   const { port } = JSON.parse(await source.getFirstLine()) as { port: number };
@@ -35,14 +35,14 @@
   const poll = async () => {
     schemas.parse(schemas.loadReport, await engines.getJson(upstream, '/load'), 'load-report');
   };
-  const rows: WatchRow[] = [];
-  for (let i = 0; i < WARM_UP; i += AT_ONCE) {
-    await Promise.all(Array.from({ length: AT_ONCE }, poll));
+  const rows: ReportReadRow[] = [];
+  for (let i = 0; i < WARM_UP_READS; i += CONCURRENT_READS) {
+    await Promise.all(Array.from({ length: CONCURRENT_READS }, poll));
   }
-  for (const reports of POLL_COUNTS) {
+  for (const reports of READ_COUNTS) {
     const before = process.cpuUsage();
-    for (let i = 0; i < reports; i += AT_ONCE) {
-      await Promise.all(Array.from({ length: AT_ONCE }, poll));
+    for (let i = 0; i < reports; i += CONCURRENT_READS) {
+      await Promise.all(Array.from({ length: CONCURRENT_READS }, poll));
     }
     const used = process.cpuUsage(before);
     rows.push({ reports, cpuUsPerReport: (used.user + used.system) / reports });
--- a/packages/bench/tests/known-red.test.ts
+++ b/packages/bench/tests/known-red.test.ts
@@ -23,8 +23,8 @@
     ['known one', false],
     ['other', true],
   ]);
-  t.same(judge(known), { failed: 0, passedOver: ['known one'] });
-  t.same(judge(createTap([['known one', true]]), 0), { failed: 0, passedOver: [] });
+  t.same(judge(known), { failed: 0, knownFailures: ['known one'] });
+  t.same(judge(createTap([['known one', true]]), 0), { failed: 0, knownFailures: [] });
   const other = createTap([
     ['known one', false],
     ['other', false],
--- a/packages/bench/tests/replay.test.ts
+++ b/packages/bench/tests/replay.test.ts
@@ -5,11 +5,11 @@
 import * as replays from '../src/policy/replay.js';
 import * as traces from '../src/policy/trace.js';
 
-const OWNER: replays.ReplayPolicy = { name: 'pool-owner', overflowRisk: 0.05, tellsClass: true };
+const OWNER: replays.ReplayPolicy = { name: 'pool-owner', overflowRisk: 0.05, sendsClass: true };
 const BALANCER: replays.ReplayPolicy = {
   name: 'least-memory',
   baseline: 'least-memory',
-  tellsClass: false,
+  sendsClass: false,
 };
 
 /** Recorded traces with the rate that crowds four engines. */
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,16 +1,16 @@
-// Runs every compiled test file as a process of its own and adds up the counts that tap printed.
-// tap's own runner loads files through a transpiler that robot3's package layout breaks.
+// Runs every compiled test file in its own process and sums up the counts that tap prints.
+// tap's own runner is not used: it loads files through a transpiler that fails on the package layout of robot3.
 import { spawn } from 'node:child_process';
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 
-import * as knownReds from '../packages/bench/dist/src/known-red.js';
+import * as knownRedTests from '../packages/bench/dist/src/known-red.js';
 
-const JOBS = 4;
+const CONCURRENT_FILES = 4;
 const FILE_TIMEOUT_MS = 180_000;
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
 
-const only = process.argv[2] ?? '';
+const pathFilter = process.argv[2] ?? '';
 
 function listTests(dir) {
   if (!fs.existsSync(dir)) return [];
@@ -20,7 +20,7 @@
     .filter((file) => file.endsWith('.test.js'));
 }
 
-// tap closes a file with `# { total: 15, pass: 15 }`, summed over its subtests.
+// tap ends the output of a file with `# { total: 15, pass: 15 }`, summed over its subtests.
 function readCounts(stdout) {
   const summary = [...stdout.matchAll(/^# \{ (total: .*) \}$/gm)].at(-1)?.[1] ?? '';
   return { passed: Number(/\bpass: (\d+)/.exec(summary)?.[1] ?? 0) };
@@ -50,23 +50,23 @@
 ];
 const files = folders
   .flatMap((folder) => listTests(path.join(folder, 'dist', 'tests')))
-  .filter((file) => file.includes(only))
+  .filter((file) => file.includes(pathFilter))
   .filter((file) => fs.existsSync(file.replace('/dist/tests/', '/tests/').replace(/\.js$/, '.ts')))
   .sort();
 const knownRedText = fs.existsSync(KNOWN_RED_FILE) ? fs.readFileSync(KNOWN_RED_FILE, 'utf8') : '';
-const knownRed = knownReds.parseKnownRed(knownRedText);
+const knownRed = knownRedTests.parseKnownRed(knownRedText);
 const queue = [...files];
 const results = [];
 await Promise.all(
-  Array.from({ length: JOBS }, async () => {
+  Array.from({ length: CONCURRENT_FILES }, async () => {
     for (let file = queue.shift(); file !== undefined; file = queue.shift()) {
       const result = await run(file);
-      const verdict = knownReds.judgeTestRun(result, knownRed);
+      const verdict = knownRedTests.judgeTestRun(result, knownRed);
       results.push({ ...result, ...verdict });
       const mark = verdict.failed > 0 ? 'FAIL' : 'ok  ';
       console.log(`${mark} ${file}: ${result.passed} passed, ${verdict.failed} failed`);
-      verdict.passedOver.forEach((name) => console.log(`known red: ${file} "${name}"`));
-      if (verdict.failed > 0 || verdict.passedOver.length > 0) {
+      verdict.knownFailures.forEach((name) => console.log(`known red: ${file} "${name}"`));
+      if (verdict.failed > 0 || verdict.knownFailures.length > 0) {
         console.log(result.stdout + result.stderr);
       }
     }
