--- a/packages/bench/src/bench.ts
+++ b/packages/bench/src/bench.ts
@@ -7,40 +7,42 @@
 
 const BENCHES: Readonly<Record<string, Bench>> = {
   policy: {
-    describe: 'replays of both mixes under every policy, load, dial and fault',
+    describe: 'replays both workload mixes under every policy, load, overflow risk and fault',
     run: async () => (await import('./policy/policy-bench.js')).run(),
   },
   relay: {
-    describe: 'one daemon on one core between an engine and callers',
+    describe: 'measures one daemon on one core between an engine and callers',
     run: async () => (await import('./relay/relay-bench.js')).run(),
   },
   grants: {
-    describe: "decisions a second of a pool's owner, bytes of its messages",
+    describe: 'measures decisions per second of a pool owner and the size of its messages',
     run: async () => (await import('./grants-bench.js')).run(),
   },
   decisions: {
     describe:
-      "what a placement, a release and a hand-over cost the leader's account, by engines and runs",
+      "measures the cost of a placement, a release and a migration in the leader's ledger, by engines and runs",
     run: async () => (await import('./decisions-bench.js')).run(),
   },
   control: {
-    describe: 'configuration into force, faults and cost, on real processes',
+    describe:
+      'measures the time until a configuration is in force, recovery from faults and resource use, on real processes',
     run: async () => (await import('./control/control-bench.js')).run(),
   },
   capacity: {
-    describe: 'writes docs/CAPACITY.md from the figures; with --check fails where they disagree',
+    describe:
+      'writes docs/CAPACITY.md from the measured figures; with --check fails when they disagree',
     run: async () =>
       (await import('./capacity/capacity-bench.js')).run(process.argv.includes('--check')),
   },
   all: {
-    describe: 'one table of every headline figure that was measured, with its aim',
+    describe: 'prints one table of every measured headline figure with its target',
     run: async () => {
       process.stdout.write(`${(await import('./headline.js')).createHeadlineTable()}\n`);
     },
   },
 };
 
-/** Runs the benches that are named. */
+/** Runs the benchmark that is named on the command line. */
 async function main(): Promise<void> {
   const args = await yargs
     .default(process.argv.slice(2))
--- a/packages/bench/src/capacity/capacity-bench.ts
+++ b/packages/bench/src/capacity/capacity-bench.ts
@@ -34,9 +34,9 @@
   return value < 10 ? value.toPrecision(2) : Math.round(value).toLocaleString('en');
 }
 
-function createRoleTable(held: readonly BudgetedRow[]): string {
+function createRoleTable(budgetedRows: readonly BudgetedRow[]): string {
   return reports.createTable(
-    held.map((item) => ({
+    budgetedRows.map((item) => ({
       role: item.row.role,
       figure: item.row.what,
       kind: item.row.isControl ? 'control' : 'data',
@@ -74,7 +74,7 @@
   );
 }
 
-/** Bytes of a zone's list with so many daemons, as it travels after each change. */
+/** Returns the encoded size in bytes of a zone's member list, which is sent after each change. */
 function getListBytes(daemons: number): number {
   const member = (i: number): schemas.Member => ({
     daemonId: `region-one-a-${i}`,
@@ -93,12 +93,12 @@
 
 function createPage(sizes: SizesFile, slopes: slopesFile.Slopes): string {
   const today = rowsFile.createRows(slopes, sizes.today);
-  const held = rowsFile.createRows(slopes, sizes.target).map((row, i) => ({
+  const budgetedRows = rowsFile.createRows(slopes, sizes.target).map((row, i) => ({
     row,
     today: today[i]!,
     limit: rowsFile.findLimit(row, sizes.budget),
   }));
-  const broken = held.filter(isOverBudget);
+  const rowsOverBudget = budgetedRows.filter(isOverBudget);
   const listBytes = getListBytes(sizes.target.daemons / sizes.target.zones);
   return [
     '# Capacity',
@@ -110,10 +110,10 @@
     createSizesTable(sizes),
     '## What each role spends',
     'Control is held against the budget of a daemon; data is what callers ask for, held against one core.',
-    createRoleTable(held),
+    createRoleTable(budgetedRows),
     '## Rows that break the budget, and what would mend them',
     ...outcomes.createRemedies(
-      broken.map((item) => item.row),
+      rowsOverBudget.map((item) => item.row),
       sizes.target,
       sizes.budget,
     ),
@@ -133,7 +133,7 @@
   return `${machine.cores} cores (${machine.model}), ${machine.memoryGb} GB, Node.js ${machine.node}`;
 }
 
-/** Writes the page, or with `isCheck` fails where it and the figures disagree. */
+/** Writes the page; with `isCheck` it only compares, and fails when the page and the figures disagree. */
 export async function run(isCheck: boolean): Promise<void> {
   const sizes = JSON.parse(fs.readFileSync(SIZES_FILE, 'utf8')) as SizesFile;
   const page = createPage(sizes, slopesFile.readSlopes());
@@ -143,8 +143,8 @@
     process.stdout.write(`${PAGE_FILE} is written\n`);
     return;
   }
-  const found = fs.existsSync(PAGE_FILE) ? fs.readFileSync(PAGE_FILE, 'utf8') : '';
-  if (found !== text) {
+  const current = fs.existsSync(PAGE_FILE) ? fs.readFileSync(PAGE_FILE, 'utf8') : '';
+  if (current !== text) {
     process.stderr.write(
       'docs/CAPACITY.md and the figures disagree; run npm run bench -- capacity\n',
     );
--- a/packages/bench/src/capacity/fit.ts
+++ b/packages/bench/src/capacity/fit.ts
@@ -1,10 +1,10 @@
-/** A measured point: a size and what it cost. */
+/** A measured point: a size and its cost. */
 export interface Point {
   readonly x: number;
   readonly y: number;
 }
 
-/** A straight line through measured points, with the range in which it was measured. */
+/** A straight line fitted to measured points, with the range of sizes in which it was measured. */
 export interface Slope {
   readonly perUnit: number;
   readonly base: number;
@@ -13,8 +13,8 @@
 }
 
 /**
- * The least-squares line through at least three points. No role gets cheaper with size: where noise says so,
- * the highest point stands for all sizes.
+ * Fits a least-squares line to at least three points. No role gets cheaper with size, so a negative slope is noise; the
+ * result is then constant at the highest point.
  */
 export function fitSlope(points: readonly Point[]): Slope {
   if (points.length < 3) {
@@ -26,21 +26,21 @@
   const variance = points.reduce((sum, { x }) => sum + (x - meanX) ** 2, 0);
   const perUnit = covariance / variance;
   const xs = points.map((point) => point.x);
-  const isNoise = perUnit < 0;
+  const isNegative = perUnit < 0;
   return {
-    perUnit: isNoise ? 0 : perUnit,
-    base: isNoise ? Math.max(...points.map((point) => point.y)) : meanY - perUnit * meanX,
+    perUnit: isNegative ? 0 : perUnit,
+    base: isNegative ? Math.max(...points.map((point) => point.y)) : meanY - perUnit * meanX,
     from: Math.min(...xs),
     to: Math.max(...xs),
   };
 }
 
-/** The line's value at a size. */
+/** Returns the value of the line at a size, at least 0. */
 export function predict(slope: Slope, x: number): number {
   return Math.max(0, slope.base + slope.perUnit * x);
 }
 
-/** Whether a size lies outside of what was measured. */
+/** Returns whether a size lies outside of the measured range. */
 export function isExtrapolated(slope: Slope, x: number): boolean {
   return x < slope.from || x > slope.to;
 }
--- a/packages/bench/src/capacity/fleet-sweep.ts
+++ b/packages/bench/src/capacity/fleet-sweep.ts
@@ -6,9 +6,9 @@
 const sweepRow = z.object({
   figure: z.string(),
   middle: z.array(z.number()),
-  /** Of the busiest host, or of the longest time. */
+  /** Value of the busiest host, or the longest time. */
   most: z.array(z.number()),
-  /** The power of the number of hosts with which the busiest grows. */
+  /** Exponent of the number of hosts with which the value of the busiest host grows. */
   power: z.number(),
   atTarget: z.number(),
 });
@@ -23,7 +23,7 @@
   rows: z.array(sweepRow),
 });
 
-/** What a sweep over numbers of hosts on the users' platform showed, as a section of the capacity page. */
+/** Creates the section of the capacity page with the results of a sweep over fleet sizes on the users' platform. */
 export function createSweepSection(): string[] {
   const found = reports.findResults<unknown>('fleet-sweep');
   if (found === undefined) {
--- a/packages/bench/src/capacity/outcomes.ts
+++ b/packages/bench/src/capacity/outcomes.ts
@@ -5,10 +5,10 @@
 import * as rowsFile from './rows.js';
 import type * as slopesFile from './slopes.js';
 
-/** The round trip between regions that is assumed, in milliseconds. */
+/** Assumed round trip between regions. */
 const REGION_ROUND_TRIP_MS = 60;
 
-/** Hops of a confirmed change: voters, relay, daemon. */
+/** Hops of a confirmed change: to the voters, the relay and the daemon. */
 const HOPS = 3;
 
 const SECONDS_PER_DAY = 86_400;
@@ -31,16 +31,16 @@
   operators: [{ operator: 'o', sha256: '0'.repeat(64) }],
 }).timings;
 
-/** What would mend each broken row, in order of gain. */
+/** Lists a remedy for each row over budget, largest excess first. */
 export function createRemedies(
-  broken: readonly rowsFile.CapacityRow[],
+  rowsOverBudget: readonly rowsFile.CapacityRow[],
   target: rowsFile.Sizes,
   budget: rowsFile.Budget,
 ): string[] {
-  if (broken.length === 0) {
+  if (rowsOverBudget.length === 0) {
     return ['None.'];
   }
-  const mends = new Map<string, string>([
+  const remedies = new Map<string, string>([
     [
       'pool owner/bytes/s',
       'split the engines of a pool among several owners, each with its own queue; grants are the larger ' +
@@ -82,15 +82,15 @@
     ['caller-facing daemon/bytes/s', 'grants asked in batches, and shorter names on the wire'],
     ['caller-facing daemon/memory MB', 'smaller socket buffers for each stream'],
   ]);
-  const byGain = broken
+  const byExcess = rowsOverBudget
     .map((row) => ({ row, times: row.value / (rowsFile.findLimit(row, budget) ?? Infinity) }))
     .sort((a, b) => b.times - a.times);
   const { claimsPerS, grantsPerPool } = rowsFile.derive(target);
   return [
-    byGain
+    byExcess
       .map(({ row, times }, i) => {
-        const mend = mends.get(`${row.role}/${row.what}`) ?? 'not yet worked out';
-        return `${i + 1}. ${row.role}, ${row.what}: ${times.toFixed(1)} times the budget. Mend: ${mend}.`;
+        const remedy = remedies.get(`${row.role}/${row.what}`) ?? 'not yet worked out';
+        return `${i + 1}. ${row.role}, ${row.what}: ${times.toFixed(1)} times the budget. Mend: ${remedy}.`;
       })
       .join('\n'),
     `For scale: ${claimsPerS.toFixed(0)} claims a second in the whole deployment, ` +
@@ -98,7 +98,7 @@
   ];
 }
 
-/** What callers and operators get at the target's size. */
+/** Describes latency, configuration changes and failures at the target size. */
 export function createOutcomes(
   target: rowsFile.Sizes,
   budget: rowsFile.Budget,
--- a/packages/bench/src/capacity/rows.ts
+++ b/packages/bench/src/capacity/rows.ts
@@ -21,7 +21,7 @@
   readonly claimsKeptS: number;
 }
 
-/** What a row is held against. */
+/** Limits against which rows are checked. */
 export interface Budget {
   readonly coreShare: number;
   readonly memoryMb: number;
@@ -39,7 +39,7 @@
   readonly formula: string;
   readonly command: string;
   readonly mechanism: string;
-  /** Control counts against the budget; data is what callers ask for. */
+  /** True for control work, which counts against the budget of a daemon; data is work that callers request. */
   readonly isControl: boolean;
   readonly value: number;
   readonly isExtrapolated: boolean;
@@ -56,14 +56,14 @@
   readonly claimsPerS: number;
 }
 
-/** How often owners read reports of their engines, and of the zone's others, per second. */
+/** Rates at which a pool owner reads the load reports of its own engines and of the zone's other ones. */
 const READS_PER_POOL_ENGINE_PER_S = 2;
 const READS_PER_OTHER_ENGINE_PER_S = 0.5;
 
-/** How often daemons tell owners of progress, per second. */
+/** Rate at which daemons report progress to pool owners. */
 const PROGRESS_PER_S = 0.5;
 
-/** What a row is held against; nothing where there is no limit. */
+/** Returns the limit for a row; undefined when there is none. */
 export function findLimit(row: CapacityRow, budget: Budget): number | undefined {
   const limits = {
     'core share': row.isControl ? budget.coreShare : 1,
@@ -74,7 +74,7 @@
   return limits[row.what];
 }
 
-/** What follows from the sizes. */
+/** Derives figures per zone, pool and daemon from the sizes. */
 export function derive(sizes: Sizes): Derived {
   const pools = sizes.models * sizes.zones;
   const live = (sizes.tokensPerS * sizes.msBetweenTokens) / 1_000;
@@ -90,7 +90,7 @@
   };
 }
 
-/** Every row of the page at some sizes. */
+/** Creates every row of the page for the given sizes. */
 export function createRows(slopes: slopesFile.Slopes, sizes: Sizes): CapacityRow[] {
   return [
     ...createDaemonRows(slopes, sizes),
@@ -106,12 +106,12 @@
 function getBytes(slopes: slopesFile.Slopes, message: string): number {
   const bytes = slopes.bytes.get(message);
   if (bytes === undefined) {
-    throw new Error(`no measured bytes of: ${message}`);
+    throw new Error(`no measured size of the message: ${message}`);
   }
   return bytes;
 }
 
-/** A grant is asked and answered, its end is told and answered. */
+/** Returns the bytes of one grant: its request, the response, the report of its end and the response to that. */
 function getGrantBytes(slopes: slopesFile.Slopes): number {
   const messages = ['grant asked', 'grant answered', 'end of a generation', 'progress answered'];
   return messages.reduce((sum, message) => sum + getBytes(slopes, message), 0);
@@ -321,7 +321,7 @@
   ];
 }
 
-/** Reading the platform's list once a second is one more answer read, as large as the zone's upstreams. */
+/** The read of the platform's list once per second counts as one more load report. */
 function createReportReaderRows(slopes: slopesFile.Slopes, sizes: Sizes): CapacityRow[] {
   const { enginesPerPool } = derive(sizes);
   const others = sizes.runners / sizes.zones - enginesPerPool;
@@ -352,7 +352,7 @@
 
 function createLeaderRows(slopes: slopesFile.Slopes, sizes: Sizes): CapacityRow[] {
   const role = 'leader (a voter)';
-  const looks = (sizes.runners / 10) * slopes.watchCpuS.perUnit;
+  const engineReadsCpu = (sizes.runners / 10) * slopes.watchCpuS.perUnit;
   const common = { role, command: 'control, grants', isControl: true };
   return [
     {
@@ -360,7 +360,7 @@
       what: 'core share',
       formula: 'base + daemons × slope + runners looked at every 10 s × µs',
       mechanism: 'relays report for their zones; log heartbeats to the voters',
-      value: fits.predict(slopes.leaderCpu, sizes.daemons) + looks,
+      value: fits.predict(slopes.leaderCpu, sizes.daemons) + engineReadsCpu,
       isExtrapolated: fits.isExtrapolated(slopes.leaderCpu, sizes.daemons),
     },
     {
--- a/packages/bench/src/capacity/slopes.ts
+++ b/packages/bench/src/capacity/slopes.ts
@@ -51,51 +51,51 @@
   };
 }
 
-/** Every slope that the page is worked out from. */
+/** Slopes and figures from which the page is calculated. */
 export interface Slopes {
-  /** Share of a core of the relaying daemon, by tokens a second. */
+  /** Core share of the relaying daemon, by tokens per second. */
   readonly relayCpu: fits.Slope;
   /** Memory of the relaying daemon in MB, by open streams. */
   readonly relayMemory: fits.Slope;
-  /** Microseconds for a grant with its end, by upstreams of the pool. */
+  /** Microseconds for a grant and its end, by upstreams of the pool. */
   readonly grantUs: fits.Slope;
-  /** Share of a core for looks at the account, by live generations of the pool. */
+  /** Core share of updating a pool owner's forecasts, by live generations of the pool. */
   readonly accountCpu: fits.Slope;
-  /** Share of a core of a zone's relay, and bytes a second, by daemons of the zone. */
+  /** Core share and bytes per second of a zone's relay, by daemons of the zone. */
   readonly zoneRelayCpu: fits.Slope;
   readonly zoneRelayBytes: fits.Slope;
-  /** The same of the leader, by daemons in all. */
+  /** The same of the leader, by daemons of the deployment. */
   readonly leaderCpu: fits.Slope;
   readonly leaderBytes: fits.Slope;
-  /** The same of a voter that does not lead and is no relay, by daemons in all. */
+  /** The same of a voter that is neither the leader nor a relay, by daemons of the deployment. */
   readonly voterCpu: fits.Slope;
   readonly voterBytes: fits.Slope;
-  /** Memory of a leader in MB, by daemons in all; no other role holds more. */
+  /** Memory of a leader in MB, by daemons of the deployment; no other role uses more. */
   readonly leaderMemory: fits.Slope;
-  /** The same of a daemon without a role, by daemons in all. */
+  /** Core share and bytes per second of a daemon without a role, by daemons of the deployment. */
   readonly daemonCpu: fits.Slope;
   readonly daemonBytes: fits.Slope;
   /** Memory of a daemon without a role in MB, by items declared. */
   readonly declaredMemory: fits.Slope;
-  /** Memory in MB and microseconds, by claims remembered. */
+  /** Memory in MB and microseconds per claim of a claim acceptor, by claims retained. */
   readonly claimMemory: fits.Slope;
   readonly claimUs: fits.Slope;
-  /** Processor seconds for reports read. */
+  /** Processor seconds, by load reports read. */
   readonly watchCpuS: fits.Slope;
-  /** Milliseconds from confirmed to in force, p99, by daemons. */
+  /** Milliseconds from the confirmation of a change until it is in force, p99, by daemons of the deployment. */
   readonly inForceMs: fits.Slope;
   readonly bytes: ReadonlyMap<string, number>;
   readonly leaderLossMs: number;
   readonly backlogMs: number;
 }
 
-/** Reads the measured results; fails where one is missing. */
+/** Reads the measured results and fits the slopes; throws when a result is missing. */
 export function readSlopes(): Slopes {
   const relay = requireResults<RelayResults>('relay').rows.filter((row) => row.path === 'daemon');
   const grants = requireResults<GrantsResults>('grants');
   const control = requireResults<ControlResults>('control');
-  const steady = relay.filter((row) => row.tokensPerS > 0.95 * row.offeredPerS);
-  const streamsOf = (load: string) =>
+  const unsaturated = relay.filter((row) => row.tokensPerS > 0.95 * row.offeredPerS);
+  const getStreams = (load: string) =>
     ({
       '2,600 tokens/s': 100,
       '10,000 tokens/s': 200,
@@ -111,8 +111,8 @@
   const relayPoints = (pick: (load: RoleUsage) => number) =>
     ofRole(/^daemon\+relay$/, pick).map(({ x, y }) => ({ x: x / zones, y }));
   return {
-    relayCpu: fits.fitSlope(steady.map((row) => ({ x: row.tokensPerS, y: row.cpuShare }))),
-    relayMemory: fits.fitSlope(relay.map((row) => ({ x: streamsOf(row.load), y: row.memoryMb }))),
+    relayCpu: fits.fitSlope(unsaturated.map((row) => ({ x: row.tokensPerS, y: row.cpuShare }))),
+    relayMemory: fits.fitSlope(relay.map((row) => ({ x: getStreams(row.load), y: row.memoryMb }))),
     grantUs: fits.fitSlope(grants.rows.map((row) => ({ x: row.upstreams, y: row.usPerDecision }))),
     accountCpu: fits.fitSlope(grants.rows.map((row) => ({ x: row.live, y: row.tickShareOfCore }))),
     zoneRelayCpu: fits.fitSlope(relayPoints((load) => load.cpuShare)),
@@ -145,7 +145,7 @@
   };
 }
 
-/** What leading costs; where the leader was its zone's relay as well, without what relaying costs. */
+/** Returns the cost of the leader; subtracts the cost of relaying when the leader was also its zone's relay. */
 function getLeader(
   { daemons, idle }: ControlResults['sized'][number],
   pick: (load: RoleUsage) => number,
@@ -154,15 +154,15 @@
     const load = idle.find((item) => item.role === role);
     return load === undefined ? undefined : pick(load);
   };
-  const relaying = (of('daemon+relay') ?? 0) - (of('daemon') ?? 0);
-  const y = of('leader') ?? (of('leader+relay') ?? 0) - relaying;
+  const relayCost = (of('daemon+relay') ?? 0) - (of('daemon') ?? 0);
+  const y = of('leader') ?? (of('leader+relay') ?? 0) - relayCost;
   return { x: daemons, y };
 }
 
 function requireResults<T>(name: string): T {
   const found = reports.findResults<T>(name);
   if (found === undefined) {
-    throw new Error(`no measured slopes: run npm run bench -- ${name} first`);
+    throw new Error(`no results for the slopes: run npm run bench -- ${name} first`);
   }
   return found;
 }
--- a/packages/bench/src/check-answer.ts
+++ b/packages/bench/src/check-answer.ts
@@ -1,6 +1,6 @@
 import * as fakes from '@bramleyridge/fakes';
 
-/** What one request came to. */
+/** Result of checking the response to one request. */
 export interface CheckResult {
   readonly kind: 'complete' | 'refused' | 'broken';
   readonly tokens: number;
@@ -13,7 +13,7 @@
   readonly error?: { readonly outcome: string; readonly message: string };
 }
 
-/** Sends a streamed completion and compares every token with what the engine says it generated. */
+/** Sends a streamed completion and compares every token with the text that a fake engine generates. */
 export async function checkStream(
   url: string,
   token: string,
@@ -32,7 +32,7 @@
   return checkEvents(generation, await res.text());
 }
 
-/** Compares the events of a stream with the generation that they name. */
+/** Checks that the events of a stream are consecutive and hold the text of the given generation. */
 export function checkEvents(generation: string, text: string): CheckResult {
   let expected = 0;
   let outcome: StreamChunk['bramleyridge'];
@@ -46,20 +46,20 @@
     outcome = chunk.bramleyridge ?? outcome;
     if (id !== null) {
       const content = chunk.choices?.[0]?.delta?.content ?? chunk.choices?.[0]?.text ?? '';
-      const isRight = id[1] === generation && Number(id[2]) === expected;
+      const isExpected = id[1] === generation && Number(id[2]) === expected;
       const isLast = content === '';
-      if (!isRight || (!isLast && content !== fakes.getTokenText(generation, expected))) {
+      if (!isExpected || (!isLast && content !== fakes.getTokenText(generation, expected))) {
         return { kind: 'broken', tokens: expected, detail: `event ${expected}: ${event}` };
       }
       expected += 1;
     }
   }
   const tokens = Math.max(0, expected - 1);
-  const isWhole = outcome?.outcome === 'complete' && outcome.tokens === tokens;
-  return { kind: isWhole ? 'complete' : 'broken', tokens, detail: JSON.stringify(outcome) };
+  const isComplete = outcome?.outcome === 'complete' && outcome.tokens === tokens;
+  return { kind: isComplete ? 'complete' : 'broken', tokens, detail: JSON.stringify(outcome) };
 }
 
-/** Sends a completion that is answered whole and compares its text. */
+/** Sends a completion without streaming and compares its text. */
 export async function checkBuffered(
   url: string,
   token: string,
@@ -80,13 +80,14 @@
     usage: { completion_tokens: number };
   };
   const tokens = answer.usage.completion_tokens;
-  const isSame = answer.choices[0]?.message.content === fakes.getText(answer.id, tokens);
+  const isSameText = answer.choices[0]?.message.content === fakes.getText(answer.id, tokens);
   const outcome = res.headers.get('bramleyridge-outcome');
-  const isWhole = isSame && outcome === 'complete';
-  return { kind: isWhole ? 'complete' : 'broken', tokens, detail: text.slice(0, 200) };
+  const isComplete = isSameText && outcome === 'complete';
+  return { kind: isComplete ? 'complete' : 'broken', tokens, detail: text.slice(0, 200) };
 }
 
+/** Returns `refused` only when the response states that the request was not run. */
 function checkRefusal(res: Response, text: string): CheckResult {
-  const isTrue = res.headers.get('bramleyridge-outcome') === 'not-run';
-  return { kind: isTrue ? 'refused' : 'broken', tokens: 0, detail: `${res.status} ${text}` };
+  const isNotRun = res.headers.get('bramleyridge-outcome') === 'not-run';
+  return { kind: isNotRun ? 'refused' : 'broken', tokens: 0, detail: `${res.status} ${text}` };
 }
--- a/packages/bench/src/child.ts
+++ b/packages/bench/src/child.ts
@@ -2,28 +2,28 @@
 import * as fs from 'node:fs';
 import * as url from 'node:url';
 
-/** The compiled program of a workspace package. */
+/** Returns the path of a compiled program of a workspace package. */
 export function getProgram(packageName: string, file: string): string {
   return url.fileURLToPath(new URL(`../../../${packageName}/dist/src/${file}`, import.meta.url));
 }
 
-/** A process that the bench started, and ends by its own handle. */
+/** A Node.js process started by the bench; its output goes to a log file. */
 export class Child {
   private readonly child: childProcess.ChildProcess;
   private readonly exited: Promise<number | null>;
   private firstLine: Promise<string>;
 
-  public constructor(args: readonly string[], logFile: string, extra: readonly string[] = []) {
+  public constructor(args: readonly string[], logFile: string, nodeArgs: readonly string[] = []) {
     const log = fs.openSync(logFile, 'a');
-    this.child = childProcess.spawn(process.execPath, [...extra, ...args], {
+    this.child = childProcess.spawn(process.execPath, [...nodeArgs, ...args], {
       stdio: ['ignore', 'pipe', log],
     });
     fs.closeSync(log);
-    const sink = fs.createWriteStream(logFile, { flags: 'a' });
+    const logStream = fs.createWriteStream(logFile, { flags: 'a' });
     let text = '';
     this.firstLine = new Promise((resolve) => {
       this.child.stdout?.on('data', (part: Buffer) => {
-        sink.write(part);
+        logStream.write(part);
         if (text !== undefined && !text.includes('\n')) {
           text += part.toString('utf8');
           if (text.includes('\n')) {
@@ -34,7 +34,7 @@
     });
     this.exited = new Promise((resolve) => {
       this.child.on('exit', (code) => {
-        sink.end();
+        logStream.end();
         resolve(code);
       });
     });
@@ -44,35 +44,35 @@
     return this.child.pid ?? 0;
   }
 
-  /** The first line that it printed. */
+  /** Returns the first line that the process prints to stdout. */
   public getFirstLine(): Promise<string> {
     return this.firstLine;
   }
 
-  /** Asks it to stop and waits for its end. */
+  /** Sends SIGTERM and waits for the exit code. */
   public stop(): Promise<number | null> {
     this.child.kill('SIGTERM');
     return this.exited;
   }
 
-  /** Ends it at once. */
+  /** Sends SIGKILL and waits for the exit. */
   public kill(): Promise<number | null> {
     this.child.kill('SIGKILL');
     return this.exited;
   }
 
-  /** Freezes it, or lets it go on. */
-  public suspend(isFrozen: boolean): void {
-    this.child.kill(isFrozen ? 'SIGSTOP' : 'SIGCONT');
+  /** Suspends the process with SIGSTOP, or resumes it with SIGCONT. */
+  public suspend(isSuspended: boolean): void {
+    this.child.kill(isSuspended ? 'SIGSTOP' : 'SIGCONT');
   }
 
-  /** Whether it has ended. */
+  /** Returns whether the process has exited. */
   public hasExited(): boolean {
     return this.child.exitCode !== null || this.child.signalCode !== null;
   }
 }
 
-/** Runs a program to its end and gives what it printed. */
+/** Runs a program until it exits and returns its exit code and output. */
 export function runProgram(
   args: readonly string[],
   env: Readonly<Record<string, string>>,
--- a/packages/bench/src/control/control-bench.ts
+++ b/packages/bench/src/control/control-bench.ts
@@ -16,10 +16,10 @@
 const DAEMON_COUNTS = [12, 20, 40];
 const IDLE_MS = 8_000;
 
-/** How long daemons settle before their idle cost is measured, in milliseconds. */
+/** Time for daemons to settle before their idle cost is measured. */
 const SETTLE_MS = 16_000;
 
-/** How much faster than 250 a day the steady rate of changes is measured, so that some fall into the run. */
+/** Rate of steady changes, much higher than 250 a day, so that some fall into the measurement. */
 const CHANGES_PER_S = 0.5;
 
 interface Times {
@@ -45,13 +45,13 @@
   return [team, ...rest];
 }
 
-/** Calls of the operators' API of one deployment, and the time until hosts have a revision in force. */
+/** Client of one deployment's operator API that also waits until hosts have a revision in force. */
 class Operator {
   private count = 0;
 
   public constructor(private readonly deployment: deployments.Deployment) {}
 
-  /** Plans and confirms a change; gives the revision and when the confirmation was answered. */
+  /** Plans and confirms a change and returns its revision once the confirmation is answered. */
   public async change(files: readonly schemas.DeclarationFile[]): Promise<number> {
     this.count += 1;
     const requestId = `bench-${process.pid}-${this.count}`;
@@ -64,7 +64,7 @@
     return confirmed.revision;
   }
 
-  /** Waits until every host that answers has a revision in force. */
+  /** Waits until every host whose process is running has a revision in force. */
   public async waitInForceOnAll(revision: number): Promise<void> {
     const urls = this.deployment
       .listUrls()
@@ -132,7 +132,7 @@
   readonly bytesPerS: number;
 }
 
-/** Bytes that the links between daemons carried so far, as each daemon's metrics page tells. */
+/** Reads from a daemon the bytes sent and received so far over its links to other daemons. */
 async function readBytes(url: string): Promise<number> {
   const res = await fetch(`${url}/operator/v1/links`, {
     headers: { authorization: `Bearer ${deployments.OPERATOR_TOKEN}` },
@@ -151,7 +151,7 @@
 
 async function measureLoad(
   deployment: deployments.Deployment,
-  act: () => Promise<void>,
+  action: () => Promise<void>,
 ): Promise<RoleUsage[]> {
   const urls = deployment.listUrls();
   const read = async () =>
@@ -164,7 +164,7 @@
     );
   const before = await read();
   const at = performance.now();
-  await act();
+  await action();
   const seconds = (performance.now() - at) / 1_000;
   const after = await read();
   const all = after.map((item, i) => ({
@@ -247,7 +247,7 @@
   return summarize(times);
 }
 
-/** A voter and a daemon without a disk are away while changes pile up; the time until both have the last. */
+/** Measures how long a voter and a daemon without a disk take to catch up with changes made while both were down. */
 async function timeBacklog(
   deployment: deployments.Deployment,
   operator: Operator,
@@ -265,12 +265,12 @@
   const wait = async (i: number) => {
     const at = performance.now();
     deployment.restart(i);
-    const only = new Operator({
+    const hostOperator = new Operator({
       ...deployment,
       listUrls: () => [deployment.getUrl(i)],
       daemons: [deployment.daemons[i]!],
     } as unknown as deployments.Deployment);
-    await only.waitInForceOnAll(revision);
+    await hostOperator.waitInForceOnAll(revision);
     return performance.now() - at;
   };
   return { voterMs: await wait(voter), daemonMs: await wait(daemon), changesPerS };
@@ -286,7 +286,7 @@
 async function measureSize(daemons: number): Promise<SizeResult> {
   return withDeployment(daemons, async (deployment, operator) => {
     await operator.waitInForceOnAll(await operator.change(createFiles(100, 1)));
-    // Links that were used at the start only are closed by then; they are not part of an idle daemon.
+    // By then links that were only used at the start are closed; an idle daemon does not have them.
     await deployments.pause(SETTLE_MS);
     const idle = await measureLoad(deployment, () => deployments.pause(IDLE_MS));
     const changing = await measureLoad(deployment, async () => {
@@ -336,7 +336,7 @@
   );
 }
 
-/** Real processes on loopback: 5 voters, up to 40 daemons in 4 zones. */
+/** Measures the control plane with real processes on loopback: 5 voters, up to 40 daemons in 4 zones. */
 export async function run(): Promise<void> {
   const sized: SizeResult[] = [];
   for (const daemons of DAEMON_COUNTS) {
--- a/packages/bench/src/decisions-bench.ts
+++ b/packages/bench/src/decisions-bench.ts
@@ -3,7 +3,7 @@
 import * as traces from './policy/trace.js';
 import * as reports from './report.js';
 
-/** Engines and runs of a pool: a small one, one of today, and two on the way to the size that is aimed at. */
+/** Pool sizes: a small one, a present-day one, and two on the way to the target size. */
 const SIZES = [
   { engines: 6, runs: 30 },
   { engines: 41, runs: 180 },
@@ -13,29 +13,29 @@
 
 const AVAILABILITY_ZONES = ['a', 'b', 'c', 'd', 'e', 'f'] as const;
 
-/** An engine's memory, in tokens; large enough that runs fill half of it at each size. */
+/** Memory of an engine in tokens; at each size runs fill about half of it. */
 const MEMORY_TOKENS = 120_000;
 
-/** How long a size is measured, in milliseconds. */
+/** Duration of the measurement at each size. */
 const MEASURE_MS = 1_500;
 
-/** Time that passes on the account's clock between two placements, in milliseconds: 2,600 a second, as at the aim. */
-const STEP_MS = 1_000 / 2_600;
+/** Interval between two placements on the ledger's clock: 2,600 placements per second, the target rate. */
+const PLACEMENT_INTERVAL_MS = 1_000 / 2_600;
 
-/** How long a run takes on the account's clock at most, in milliseconds. */
-const RUN_MS = 39_000;
+/** Remaining time of a new run on the ledger's clock. */
+const RUN_REMAINING_MS = 39_000;
 
 interface DecisionRow extends reports.TableRow {
   readonly engines: number;
   readonly runs: number;
-  /** A placement with its copy, and the note that its prompt was read. */
+  /** Cost of a placement with its KV-cache backup and of recording the first event. */
   readonly usPerPlacement: number;
   readonly usPerRelease: number;
-  /** The choice of who takes a run over. */
+  /** Cost of choosing the target engine of a migration. */
   readonly usPerTaker: number;
 }
 
-/** A pool that is kept at its size: for each run that is placed the oldest one ends. */
+/** A pool of constant size: after each placement the oldest run is released. */
 class SteadyPool {
   private readonly ledger = new routing.EngineLedger();
   private readonly random = new traces.Random(11);
@@ -57,23 +57,23 @@
     }
   }
 
-  /** Places a run and notes that its prompt was read. */
+  /** Places a run and records its first event, the end of its prefill. */
   public place(): void {
     this.count += 1;
-    this.now += STEP_MS;
+    this.now += PLACEMENT_INTERVAL_MS;
     const callId = `c${this.count}`;
     const placed = this.ledger.place(this.createSpec(callId), this.now);
     this.ledger.recordFirstEvent(callId, this.now + 1);
     this.live.push({ callId, engineId: placed?.engineId ?? 'e0' });
   }
 
-  /** Ends the oldest run. */
+  /** Releases the oldest run. */
   public release(): void {
     const oldest = this.live.shift();
     this.ledger.release(oldest?.callId ?? '', false, this.now);
   }
 
-  /** Chooses who takes a run over. */
+  /** Chooses the target engine for the migration of a random run. */
   public chooseTargetEngine(): void {
     const moved = this.live[Math.floor(this.random.next() * this.live.length)]!;
     this.ledger.reassignBackup(moved.callId, moved.engineId, [], this.now);
@@ -86,7 +86,7 @@
       availabilityZone: AVAILABILITY_ZONES[zone]!,
       promptTokens: 1_000 + this.random.next() * 2_000,
       answerTokens: 100 + this.random.next() * 900,
-      leftMs: RUN_MS,
+      leftMs: RUN_REMAINING_MS,
       excluded: [],
       wantsCopy: true,
       ranMs: 0,
@@ -94,7 +94,7 @@
   }
 }
 
-/** Measures what decisions of the account cost by its size, and prints a table. */
+/** Measures the cost of ledger decisions by pool size and prints a table. */
 export function run(): void {
   const rows = SIZES.map(({ engines, runs }) => measure(engines, runs));
   reports.writeResults('decisions', { rows }, [
@@ -104,13 +104,13 @@
 
 function measure(engines: number, runs: number): DecisionRow {
   const pool = new SteadyPool(engines, runs);
-  const spent = { place: 0, release: 0, taker: 0 };
+  const spent = { place: 0, release: 0, migration: 0 };
   const end = performance.now() + MEASURE_MS;
   let rounds = 0;
   while (performance.now() < end) {
     spent.place += time(() => pool.place());
     spent.release += time(() => pool.release());
-    spent.taker += time(() => pool.chooseTargetEngine());
+    spent.migration += time(() => pool.chooseTargetEngine());
     rounds += 1;
   }
   const getUs = (ms: number) => Number(((ms * 1_000) / rounds).toFixed(1));
@@ -119,7 +119,7 @@
     runs,
     usPerPlacement: getUs(spent.place),
     usPerRelease: getUs(spent.release),
-    usPerTaker: getUs(spent.taker),
+    usPerTaker: getUs(spent.migration),
   };
 }
 
--- a/packages/bench/src/deployment.ts
+++ b/packages/bench/src/deployment.ts
@@ -7,7 +7,7 @@
 
 import * as children from './child.js';
 
-/** What a deployment on loopback looks like. */
+/** Topology and settings of a deployment on loopback. */
 export interface DeploymentShape {
   readonly folder: string;
   readonly zones: readonly string[];
@@ -20,7 +20,7 @@
   readonly speed: number;
   readonly timings?: Partial<schemas.DaemonConfig['timings']>;
   readonly limits?: Partial<schemas.DaemonConfig['limits']>;
-  /** A platform that runs already, in place of the stand-ins. */
+  /** URL of a platform that is already running; no test doubles are started then. */
   readonly platformUrl?: string;
   readonly logLevel?: schemas.DaemonConfig['logLevel'];
 }
@@ -32,10 +32,10 @@
   child: children.Child;
 }
 
-/** The operator's token of every deployment that the bench starts. */
+/** Operator token of every deployment that the bench starts. */
 export const OPERATOR_TOKEN = 'example-operator-token';
 
-/** Daemons and stand-ins as real processes on loopback. */
+/** Daemons and test doubles as real processes on loopback. */
 export class Deployment {
   public daemons: DeployedDaemon[] = [];
   public upstreams: schemas.Upstream[] = [];
@@ -45,7 +45,7 @@
 
   public constructor(private readonly shape: DeploymentShape) {}
 
-  /** Starts everything. */
+  /** Starts the test doubles, writes the settings and keys, and starts every daemon. */
   public async start(): Promise<void> {
     const { folder } = this.shape;
     fs.mkdirSync(folder, { recursive: true });
@@ -68,24 +68,24 @@
     });
   }
 
-  /** Where callers reach a daemon. */
+  /** Returns the caller-facing URL of a daemon. */
   public getUrl(index: number): string {
     const entry = this.daemons[index]?.entry;
     return `http://${entry?.host}:${entry?.callerPort}`;
   }
 
-  /** Every daemon's URL. */
+  /** Lists the caller-facing URLs of all daemons. */
   public listUrls(): string[] {
     return this.daemons.map((_, i) => this.getUrl(i));
   }
 
-  /** Starts a daemon again, with the settings and data folder that it had. */
+  /** Restarts a daemon with the same settings and data folder. */
   public restart(index: number): void {
     const daemon = this.daemons[index]!;
     daemon.child = this.spawn(daemon.entry.daemonId, daemon.configFile);
   }
 
-  /** Runs the operator's program. */
+  /** Runs `bramleyctl` against the deployment. */
   public runCtl(
     ...args: string[]
   ): Promise<{ code: number | null; stdout: string; stderr: string }> {
@@ -95,16 +95,16 @@
     });
   }
 
-  /** Runs the operator's program, and fails when it does. */
+  /** Runs `bramleyctl`, returns its stdout, and throws when its exit code is not 0. */
   public async runCtlOrThrow(...args: string[]): Promise<string> {
     const { code, stdout, stderr } = await this.runCtl(...args);
     if (code !== 0) {
-      throw new Error(`bramleyctl ${args.join(' ')} ended with ${code}: ${stderr}${stdout}`);
+      throw new Error(`bramleyctl ${args.join(' ')} exited with ${code}: ${stderr}${stdout}`);
     }
     return stdout;
   }
 
-  /** Plans and confirms a folder, and waits until it is in force everywhere. */
+  /** Plans and confirms a folder's declaration, waits until it is in force on every host and returns its revision. */
   public async apply(folder: string): Promise<number> {
     const planned = JSON.parse(await this.runCtlOrThrow('plan', '-f', folder, '--json')) as {
       plan: schemas.Plan;
@@ -118,7 +118,7 @@
     return confirmed.revision;
   }
 
-  /** Waits until every daemon says that it is ready. */
+  /** Waits until every daemon reports that it is ready. */
   public async waitReady(timeoutMs: number): Promise<void> {
     const deadline = Date.now() + timeoutMs;
     for (const url of this.listUrls()) {
@@ -131,16 +131,16 @@
     }
   }
 
-  /** Stops every daemon gracefully; gives their exit codes. */
+  /** Stops every running daemon gracefully and returns the exit codes. */
   public async stopDaemons(): Promise<(number | null)[]> {
     const running = this.daemons.filter((daemon) => !daemon.child.hasExited());
     return Promise.all(running.map((daemon) => daemon.child.stop()));
   }
 
-  /** Ends whatever is left. */
+  /** Kills the remaining daemons and the test doubles, and releases the reserved ports. */
   public async end(): Promise<void> {
-    const left = this.daemons.filter((daemon) => !daemon.child.hasExited());
-    await Promise.all(left.map((daemon) => daemon.child.kill()));
+    const remaining = this.daemons.filter((daemon) => !daemon.child.hasExited());
+    await Promise.all(remaining.map((daemon) => daemon.child.kill()));
     await this.fakesProcess?.kill();
     this.reservedPorts?.release();
   }
@@ -223,7 +223,6 @@
   }
 }
 
-/** Waits. */
 export function pause(ms: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, ms);
--- a/packages/bench/src/grants-bench.ts
+++ b/packages/bench/src/grants-bench.ts
@@ -3,15 +3,17 @@
 import * as routing from '@bramleyridge/routing';
 import * as schemas from '@bramleyridge/schemas';
 
-import * as claimsMeasure from './claims-measure.js';
+import * as claimMeasurements from './claims-measure.js';
 import * as traces from './policy/trace.js';
 import * as reports from './report.js';
-import * as watchMeasure from './watch-measure.js';
+import * as reportReads from './watch-measure.js';
 
+/** Framing of one TLS record around a message. */
 const TLS_RECORD_BYTES = 29;
+/** Headers of one TCP/IP packet. */
 const TCP_IP_BYTES = 52;
 
-/** Sizes at which the slopes are taken: upstreams and live generations of a pool. */
+/** Pool sizes, in upstreams and live generations, from which the capacity page derives its slopes. */
 const SIZES = [
   { upstreams: 2, live: 68 },
   { upstreams: 11, live: 374 },
@@ -21,7 +23,7 @@
 
 const MEASURE_MS = 1_500;
 
-/** How often a pool's account is worked out anew, per second. */
+/** Rate at which a pool owner updates its forecasts. */
 const TICKS_PER_SECOND = 10;
 
 interface GrantRow {
@@ -34,6 +36,7 @@
   readonly heapKbPerGeneration: number;
 }
 
+/** A pool owner on virtual time with the generations that it has granted. */
 class Pool {
   public readonly clock = new schemas.VirtualClock();
   public readonly owner: routing.PoolOwner;
@@ -53,7 +56,7 @@
     );
   }
 
-  /** One grant. */
+  /** Requests one grant. */
   public grant(): void {
     this.count += 1;
     const generation = `a.a-1.k3j2.${this.count.toString(36)}`;
@@ -77,10 +80,10 @@
     });
   }
 
-  /** One end. */
+  /** Finishes a random live generation. */
   public finish(): void {
-    const at = this.random.between(0, this.live.length - 1);
-    const generation = this.live.splice(at, 1)[0]!;
+    const index = this.random.between(0, this.live.length - 1);
+    const generation = this.live.splice(index, 1)[0]!;
     this.owner.finish(generation, this.random.between(5, 60), true);
   }
 }
@@ -101,7 +104,7 @@
     pool.grant();
     decisions += 1;
   }
-  const decisionMs = performance.now() - from;
+  const elapsedMs = performance.now() - from;
   let ticks = 0;
   const tickFrom = performance.now();
   while (performance.now() - tickFrom < MEASURE_MS) {
@@ -112,15 +115,15 @@
   return {
     upstreams,
     live,
-    decisionsPerS: Math.round((1_000 * decisions) / decisionMs),
-    usPerDecision: (1_000 * decisionMs) / decisions,
+    decisionsPerS: Math.round((1_000 * decisions) / elapsedMs),
+    usPerDecision: (1_000 * elapsedMs) / decisions,
     msPerTick,
     tickShareOfCore: (msPerTick * TICKS_PER_SECOND) / 1_000,
     heapKbPerGeneration: Math.max(0, heapAfter - heapBefore) / 1_024 / live,
   };
 }
 
-/** Bytes of the messages between a daemon and a pool's owner, with and without what carries them. */
+/** Measures the size of messages between a daemon and a pool owner, without and with TLS and TCP/IP overhead. */
 function measureBytes(): {
   readonly message: string;
   readonly bytes: number;
@@ -158,7 +161,7 @@
     registered: [],
     leaving: [],
   });
-  // The names of fields travel with the first message only, so the second of each is measured.
+  // A connection sends field names only with the first message of a kind, so the second one is measured.
   const size = (frame: unknown) => {
     const writer = new peers.FrameWriter();
     writer.encode(frame as peers.Frame);
@@ -181,16 +184,16 @@
     key: '0123456789abcdef0123456789abcdef01234567',
     ballot: [70_000, 'region-one-a-17@1796235983971'],
     since: [1, 1, 1, 1, 1],
-    value: claimsMeasure.createClaimValue(70_000),
+    value: claimMeasurements.createClaimValue(70_000),
   };
 }
 
-/** Decisions a second of a pool's owner, and the bytes of its messages. */
+/** Measures decisions per second of a pool owner, message sizes, claim acceptors and reads of load reports. */
 export async function run(): Promise<void> {
   const rows = SIZES.map(measure);
   const bytes = measureBytes();
-  const claims = claimsMeasure.measureClaims();
-  const watch = await watchMeasure.measureReportReads();
+  const claims = claimMeasurements.measureClaims();
+  const watch = await reportReads.measureReportReads();
   reports.writeResults('grants', { rows, bytes, claims, watch }, [
     reports.createSection(
       'A pool owner by size',
--- a/packages/bench/src/headline.ts
+++ b/packages/bench/src/headline.ts
@@ -35,12 +35,12 @@
     if (own.load < 0.9) {
       continue;
     }
-    const rivals = policy!.loads.filter(
+    const baselines = policy!.loads.filter(
       (row) =>
         row.user === own.user && row.load === own.load && BASELINE_POLICIES.includes(row.policy),
     );
-    const best = (key: string) => Math.min(...rivals.map((row) => row.mean[key] ?? Infinity));
-    const goodput = Math.max(...rivals.map((row) => row.mean.goodputPerS ?? 0));
+    const best = (key: string) => Math.min(...baselines.map((row) => row.mean[key] ?? Infinity));
+    const goodput = Math.max(...baselines.map((row) => row.mean.goodputPerS ?? 0));
     const get = (key: string) => own.mean[key] ?? 0;
     const where = `${own.user}, load ${own.load}`;
     const fewer = best('preemptionsPer1000') / Math.max(get('preemptionsPer1000'), 0.01);
@@ -80,10 +80,13 @@
   const relay = reports.findResults<{ rows: RelayRow[] }>('relay');
   const find = (load: string, path: string) =>
     relay?.rows.find((row) => row.load === load && row.path === path);
-  const [full, bare] = [find('30,000 tokens/s', 'daemon'), find('30,000 tokens/s', 'pass-through')];
+  const [full, passThrough] = [
+    find('30,000 tokens/s', 'daemon'),
+    find('30,000 tokens/s', 'pass-through'),
+  ];
   const [small, direct] = [find('2,600 tokens/s', 'daemon'), find('2,600 tokens/s', 'direct')];
   const many = find('2,000 open streams', 'daemon');
-  if (!full || !bare || !small || !direct || !many) {
+  if (!full || !passThrough || !small || !direct || !many) {
     return;
   }
   yield createRow(
@@ -92,7 +95,7 @@
     'at least 30,000',
     full.tokensPerS >= 30_000,
   );
-  const ratio = full.cpuUsPerToken / bare.cpuUsPerToken;
+  const ratio = full.cpuUsPerToken / passThrough.cpuUsPerToken;
   yield createRow(
     'relay: processor time, of a bare pass-through',
     ratio.toFixed(2),
@@ -163,7 +166,7 @@
   return { figure, value, aim, verdict: isMet ? 'met' : '**missed**' };
 }
 
-/** One table of every headline figure that was measured, with its aim. */
+/** Creates a table of every measured headline figure with its target. */
 export function createHeadlineTable(): string {
   const rows = [...listPolicy(), ...listRelay(), ...listGrants(), ...listControl()];
   return reports.createSection('Where the project stands', rows);
--- a/packages/bench/src/known-red.ts
+++ b/packages/bench/src/known-red.ts
@@ -1,23 +1,23 @@
-/** A test that may fail: its file without an ending, and its name. */
+/** A test that is known to fail: its source file without `.test.ts`, and its name. */
 export interface KnownRed {
   readonly file: string;
   readonly test: string;
 }
 
-/** What is judged of the run of one test file. */
+/** Result of running one test file. */
 export interface TestRun {
   /** The compiled file. */
   readonly file: string;
-  /** The exit code; nothing when the process was killed. */
+  /** Exit code; null when the process was killed by a signal. */
   readonly code: number | null;
   readonly stdout: string;
 }
 
-/** What a run of a test file counts as. */
+/** Verdict on the run of one test file. */
 export interface TestVerdict {
-  /** Failed assertions that count. */
+  /** Number of failed assertions, without those of known failures. */
   readonly failed: number;
-  /** The names of the tests that failed and are listed. */
+  /** Names of the listed tests that failed. */
   readonly knownFailures: readonly string[];
 }
 
@@ -31,35 +31,35 @@
 const PLAN = /^1\.\.(\d+)$/;
 const NESTED_FAILURE = /^\s+not ok \d/;
 
-/** The tests that a list names, one entry a line; a line that names none is an error. */
+/** Parses a list with one test per line; throws on a line that names no test. */
 export function parseKnownRed(text: string): KnownRed[] {
   const lines = text.split('\n').filter((line) => line.trim() !== '');
   return lines.map((line) => {
     const [, file, test] = ENTRY.exec(line) ?? [];
     if (file === undefined || test === undefined) {
-      throw new Error(`no test is named as FILE "TEST" in: ${line}`);
+      throw new Error(`entry must start with FILE "TEST": ${line}`);
     }
     return { file, test };
   });
 }
 
 /**
- * Judges the run of a test file: the tests that are listed may fail, every other one counts, and so does a file that ends
- * before all its tests have.
+ * Judges the run of a test file. Listed tests may fail. Every other failure counts, and so does a file that exits before
+ * all its tests have reported, or with an error code that no failed test explains.
  */
 export function judgeTestRun(run: TestRun, knownRed: readonly KnownRed[]): TestVerdict {
   const { failures, isComplete } = readTap(run.stdout);
   const names = new Set(
     knownRed.filter(({ file }) => isSameFile(run.file, file)).map(({ test }) => test),
   );
-  const knownFailures = failures.filter(({ name }) => names.has(name));
-  const counted = failures.filter(({ name }) => !names.has(name));
-  const hasEnded = isComplete && run.code !== null;
+  const known = failures.filter(({ name }) => names.has(name));
+  const unexpected = failures.filter(({ name }) => !names.has(name));
+  const hasFinished = isComplete && run.code !== null;
   const isExplained = run.code === 0 || failures.length > 0;
-  const failed = counted.reduce((sum, item) => sum + item.failed, 0);
+  const failed = unexpected.reduce((sum, item) => sum + item.failed, 0);
   return {
-    failed: hasEnded && isExplained ? failed : Math.max(1, failed),
-    knownFailures: knownFailures.map(({ name }) => name),
+    failed: hasFinished && isExplained ? failed : Math.max(1, failed),
+    knownFailures: known.map(({ name }) => name),
   };
 }
 
@@ -86,7 +86,7 @@
   return { failures, isComplete: planned !== undefined && planned > 0 && planned === results };
 }
 
-/** `packages/a/dist/tests/b.test.js` is the compiled `packages/a/tests/b`. */
+/** Returns whether a compiled file, `packages/a/dist/tests/b.test.js`, is the listed `packages/a/tests/b`. */
 function isSameFile(compiled: string, listed: string): boolean {
   return compiled.replace('/dist/tests/', '/tests/').replace(/\.test\.js$/, '') === listed;
 }
--- a/packages/bench/src/plot.ts
+++ b/packages/bench/src/plot.ts
@@ -5,22 +5,22 @@
 
 import * as reports from './report.js';
 
-const WIDTH = 900;
-const HEIGHT = 480;
+const WIDTH_PX = 900;
+const HEIGHT_PX = 480;
 
-/** Lines over common points. */
+/** Data series over common x values. */
 export interface Lines {
   readonly x: readonly string[];
   readonly series: readonly { readonly name: string; readonly values: readonly number[] }[];
 }
 
-/** Draws lines as an SVG file beside the results. */
+/** Writes a line chart as an SVG file to the results folder. */
 export function writeLines(name: string, title: string, lines: Lines): void {
   const chart = echarts.init(null, null, {
     renderer: 'svg',
     ssr: true,
-    width: WIDTH,
-    height: HEIGHT,
+    width: WIDTH_PX,
+    height: HEIGHT_PX,
   });
   chart.setOption({
     animation: false,
--- a/packages/bench/src/policy/baselines.ts
+++ b/packages/bench/src/policy/baselines.ts
@@ -2,72 +2,76 @@
 
 import type * as traces from './trace.js';
 
-/** What a daemon that routes by itself knows of an engine. */
+/** State of an engine as views by one daemon that routes on its own. */
 export interface EngineView {
   readonly upstreamId: string;
-  /** What this daemon itself has there now. */
+  /** Number of this daemon's own requests in progress on the engine. */
   outstanding: number;
   report: schemas.LoadReport | undefined;
-  /** Prompt tokens sent there since the last report. */
+  /** Prompt tokens that this daemon has sent to the engine since its last report. */
   sentSince: number;
 }
 
-/** A way for every daemon to choose an engine at once, as common load balancers do. */
+/** A policy by which a daemon chooses an engine immediately, as common load balancers do. */
 export interface Baseline {
-  choose(seen: readonly EngineView[], random: traces.Random): EngineView;
+  choose(views: readonly EngineView[], random: traces.Random): EngineView;
 }
 
+/**
+ * Returns the estimated share of memory in use, in which a waiting request counts as 1,000 tokens. Without a report it
+ * is the number of outstanding requests.
+ */
 function getLoadEstimate(item: EngineView): number {
   if (item.report === undefined) {
     return item.outstanding;
   }
-  const waiting = item.report.waiting * 1_000;
-  return (item.report.tokensUsed + waiting + item.sentSince) / item.report.tokensTotal;
+  const waitingTokens = item.report.waiting * 1_000;
+  return (item.report.tokensUsed + waitingTokens + item.sentSince) / item.report.tokensTotal;
 }
 
 function findMinimum(
-  seen: readonly EngineView[],
+  views: readonly EngineView[],
   getLoad: (item: EngineView) => number,
 ): EngineView {
-  return seen.reduce((best, item) => (getLoad(item) < getLoad(best) ? item : best));
+  return views.reduce((best, item) => (getLoad(item) < getLoad(best) ? item : best));
 }
 
-/** Every engine in turn. */
+/** Chooses every engine in turn. */
 export class RoundRobin implements Baseline {
   private next = 0;
 
-  public choose(seen: readonly EngineView[]): EngineView {
+  public choose(views: readonly EngineView[]): EngineView {
     this.next += 1;
-    return seen[this.next % seen.length]!;
+    return views[this.next % views.length]!;
   }
 }
 
-/** The engine on which this daemon has the least outstanding. */
+/** Chooses the engine with the fewest outstanding requests of this daemon; ties are broken from a random start. */
 export class LeastOutstanding implements Baseline {
-  public choose(seen: readonly EngineView[], random: traces.Random): EngineView {
-    const start = random.between(0, seen.length - 1);
-    const turned = [...seen.slice(start), ...seen.slice(0, start)];
-    return findMinimum(turned, (item) => item.outstanding);
+  public choose(views: readonly EngineView[], random: traces.Random): EngineView {
+    const start = random.between(0, views.length - 1);
+    const rotated = [...views.slice(start), ...views.slice(0, start)];
+    return findMinimum(rotated, (item) => item.outstanding);
   }
 }
 
-/** The engine that last reported the least memory in use. */
+/** Chooses the engine with the smallest load estimate from its last report. */
 export class LeastReportedMemory implements Baseline {
-  public choose(seen: readonly EngineView[]): EngineView {
-    return findMinimum(seen, getLoadEstimate);
+  public choose(views: readonly EngineView[]): EngineView {
+    return findMinimum(views, getLoadEstimate);
   }
 }
 
-/** The better of two at random, by report and what was sent since. */
+/** Chooses the less loaded of two random engines, by their last report and the prompt tokens sent since. */
 export class PowerOfTwo implements Baseline {
-  public choose(seen: readonly EngineView[], random: traces.Random): EngineView {
-    const first = seen[random.between(0, seen.length - 1)]!;
-    const second = seen[random.between(0, seen.length - 1)]!;
+  public choose(views: readonly EngineView[], random: traces.Random): EngineView {
+    const first = views[random.between(0, views.length - 1)]!;
+    const second = views[random.between(0, views.length - 1)]!;
     return getLoadEstimate(second) < getLoadEstimate(first) ? second : first;
   }
 }
 
-/** The baselines by name; each replay makes its own. */
+/** Factories of the baselines by name; each replay creates its own instance. */
 export const BASELINES: Readonly<Record<string, () => Baseline>> = {
   'round-robin': () => new RoundRobin(),
   'least-outstanding': () => new LeastOutstanding(),
--- a/packages/bench/src/policy/measures.ts
+++ b/packages/bench/src/policy/measures.ts
@@ -1,12 +1,12 @@
 import * as hdr from 'hdr-histogram-js';
 
-/** Beyond which gap between tokens a stream counts as stalled, in milliseconds. */
+/** Gap between tokens beyond which a stream counts as stalled. */
 const STALL_MS = 100;
 
-/** Histograms hold tenths of a millisecond. */
+/** Histograms store integers, in units of a tenth of a millisecond. */
 const UNITS_PER_MS = 10;
 
-/** What one replay measured; times in milliseconds. */
+/** Measurements of one replay; times in milliseconds. */
 export interface ReplayMeasurements {
   readonly completed: number;
   readonly preemptionsPer1000: number;
@@ -30,7 +30,7 @@
   readonly broken: number;
 }
 
-/** One request under way in a replay. */
+/** One request in progress in a replay. */
 export interface RequestInFlight {
   readonly team: string;
   readonly isShort: boolean;
@@ -49,7 +49,7 @@
   });
 }
 
-/** Collects what happens to requests after the warm-up. */
+/** Records the events of requests that arrive after the warm-up. */
 export class Recorder {
   private readonly gaps = createHistogram();
   private readonly first = createHistogram();
@@ -68,54 +68,56 @@
     private readonly to: number,
   ) {}
 
-  /** One token of a request. */
-  public recordToken(flight: RequestInFlight, now: number): void {
-    const gap = now - flight.lastAt;
-    flight.lastAt = now;
-    flight.tokens += 1;
+  /** Records one token of a request. */
+  public recordToken(request: RequestInFlight, now: number): void {
+    const gap = now - request.lastAt;
+    request.lastAt = now;
+    request.tokens += 1;
     if (now >= this.from && now < this.to) {
-      this.served.set(flight.team, (this.served.get(flight.team) ?? 0) + 1);
+      this.served.set(request.team, (this.served.get(request.team) ?? 0) + 1);
     }
-    if (!flight.isMeasured) {
+    if (!request.isMeasured) {
       return;
     }
-    if (flight.tokens === 1) {
+    if (request.tokens === 1) {
       this.first.recordValue(Math.round(gap * UNITS_PER_MS));
       return;
     }
     this.gaps.recordValue(Math.round(gap * UNITS_PER_MS));
-    flight.stallMs += Math.max(0, gap - STALL_MS);
+    request.stallMs += Math.max(0, gap - STALL_MS);
   }
 
-  /** The end of a request. */
-  public recordEnd(flight: RequestInFlight, now: number): void {
-    if (!flight.isMeasured) {
+  /** Records the completion of a request. */
+  public recordEnd(request: RequestInFlight, now: number): void {
+    if (!request.isMeasured) {
       return;
     }
     this.completed += 1;
-    const whole = flight.isShort ? this.short : this.long;
-    whole.recordValue(Math.round((now - flight.arrivedAt) * UNITS_PER_MS));
-    this.stalls.recordValue(Math.round(flight.stallMs * UNITS_PER_MS));
-    this.stallSum += flight.stallMs;
+    const durations = request.isShort ? this.short : this.long;
+    durations.recordValue(Math.round((now - request.arrivedAt) * UNITS_PER_MS));
+    this.stalls.recordValue(Math.round(request.stallMs * UNITS_PER_MS));
+    this.stallSum += request.stallMs;
   }
 
-  /** A preemption of a request. */
-  public recordPreemption(flight: RequestInFlight): void {
-    this.preemptions += flight.isMeasured ? 1 : 0;
+  /** Records a preemption of a request. */
+  public recordPreemption(request: RequestInFlight): void {
+    this.preemptions += request.isMeasured ? 1 : 0;
   }
 
-  /** A refusal. */
-  public recordRefusal(flight: RequestInFlight): void {
-    this.refused += flight.isMeasured ? 1 : 0;
+  /** Records a refusal of a request. */
+  public recordRefusal(request: RequestInFlight): void {
+    this.refused += request.isMeasured ? 1 : 0;
   }
 
-  /** A request that was lost with its engine after it had delivered something. */
-  public recordBreak(flight: RequestInFlight): void {
-    this.broken += flight.isMeasured ? 1 : 0;
+  /** Records a request that was lost with its engine after it had delivered tokens. */
+  public recordBreak(request: RequestInFlight): void {
+    this.broken += request.isMeasured ? 1 : 0;
   }
 
-  /** Everything, with fairness against what each team should have got. */
-  public summarize(getFair: (total: number) => ReadonlyMap<string, number>): ReplayMeasurements {
+  /** Summarizes all measurements; `getFairShares` returns the tokens that each team should have received of a total. */
+  public summarize(
+    getFairShares: (total: number) => ReadonlyMap<string, number>,
+  ): ReplayMeasurements {
     const at = (histogram: hdr.Histogram, percentile: number) =>
       histogram.getValueAtPercentile(percentile) / UNITS_PER_MS;
     const total = [...this.served.values()].reduce((sum, tokens) => sum + tokens, 0);
@@ -138,13 +140,13 @@
       longP99Ms: at(this.long, 99),
       refused: this.refused,
       goodputPerS: (1_000 * total) / (this.to - this.from),
-      fairness: getJainIndex(this.served, getFair(total)),
+      fairness: getJainIndex(this.served, getFairShares(total)),
       broken: this.broken,
     };
   }
 }
 
-/** Jain's index of what teams got relative to what they should have got. */
+/** Returns Jain's fairness index of the tokens that teams received, relative to their fair shares. */
 export function getJainIndex(
   served: ReadonlyMap<string, number>,
   fair: ReadonlyMap<string, number>,
@@ -155,25 +157,25 @@
   return (sum * sum) / (ratios.length * Math.max(squares, 1e-9));
 }
 
-/** Shares a total among teams by weight, nobody more than asked for. */
+/** Divides a total among teams by weighted max-min fairness: no team receives more than its demand. */
 export function shareMaxMin(
   total: number,
   demands: readonly { readonly name: string; readonly weight: number; readonly demand: number }[],
 ): Map<string, number> {
   const shares = new Map<string, number>();
-  let open = [...demands];
-  let left = total;
-  while (open.length > 0) {
-    const weights = open.reduce((sum, team) => sum + team.weight, 0);
-    const perWeight = left / weights;
-    const sated = open.filter((team) => team.demand <= team.weight * perWeight);
-    if (sated.length === 0) {
-      open.forEach((team) => shares.set(team.name, team.weight * perWeight));
+  let unsatisfied = [...demands];
+  let remaining = total;
+  while (unsatisfied.length > 0) {
+    const weights = unsatisfied.reduce((sum, team) => sum + team.weight, 0);
+    const perWeight = remaining / weights;
+    const satisfied = unsatisfied.filter((team) => team.demand <= team.weight * perWeight);
+    if (satisfied.length === 0) {
+      unsatisfied.forEach((team) => shares.set(team.name, team.weight * perWeight));
       break;
     }
-    sated.forEach((team) => shares.set(team.name, team.demand));
-    left -= sated.reduce((sum, team) => sum + team.demand, 0);
-    open = open.filter((team) => !sated.includes(team));
+    satisfied.forEach((team) => shares.set(team.name, team.demand));
+    remaining -= satisfied.reduce((sum, team) => sum + team.demand, 0);
+    unsatisfied = unsatisfied.filter((team) => !satisfied.includes(team));
   }
   return shares;
 }
--- a/packages/bench/src/policy/oracle.ts
+++ b/packages/bench/src/policy/oracle.ts
@@ -1,6 +1,6 @@
 import * as routing from '@bramleyridge/routing';
 
-/** A distribution that never ends early: with the true length as limit, the future is known. */
+/** A distribution in which no output ends before its limit; with the true length as the limit it is exact. */
 class KnownLength extends routing.LengthDistribution {
   public override getSurvival(): number {
     return 1;
@@ -10,16 +10,16 @@
     out.fill(1);
   }
 
-  public override getMeanRemaining(from: number, most: number): number {
-    return Math.max(0, most - from);
+  public override getMeanRemaining(from: number, limit: number): number {
+    return Math.max(0, limit - from);
   }
 }
 
-/** Stands in for learned lengths where the true ones are given as limits. */
+/** Replaces learned lengths in replays that pass the true lengths as limits. */
 export class Oracle implements routing.LengthSource {
-  private readonly known = new KnownLength();
+  private readonly distribution = new KnownLength();
 
   public get(): routing.LengthDistribution {
-    return this.known;
+    return this.distribution;
   }
 }
--- a/packages/bench/src/policy/policy-bench.ts
+++ b/packages/bench/src/policy/policy-bench.ts
@@ -13,13 +13,13 @@
 const DURATION_S = 400;
 const WARMUP_S = 100;
 
-/** Far beyond what four engines can do, to find out what they can. */
+/** Load of the capacity measurement relative to the base rate, far more than four engines can serve. */
 const OVERLOAD_FACTOR = 2;
 
-/** The rate from which the flood starts, in requests a second, by user. */
+/** Base rate of the capacity measurement in requests per second, by user. */
 const OVERLOAD_BASE_RATES: Readonly<Record<string, number>> = { kalahari: 18, 'exit-survey': 8 };
 
-/** The dials that ship as defaults, chosen from the curve below. */
+/** Default overflow risks by user, chosen from the curve over `RISKS`. */
 export const DEFAULT_RISKS: Readonly<Record<string, number>> = {
   kalahari: 0.1,
   'exit-survey': 0.05,
@@ -34,7 +34,7 @@
   'mix-shifts',
 ];
 
-/** The mean of some replays of one cell. */
+/** Means over the replays of one combination of user, load, fault and policy. */
 export type MeanMeasurements = Record<keyof measures.ReplayMeasurements, number>;
 
 interface Row {
@@ -48,9 +48,9 @@
 const program = new URL('./policy-worker.js', import.meta.url);
 
 function listPolicies(user: string): replays.ReplayPolicy[] {
-  const plain = ['round-robin', 'least-outstanding', 'least-memory', 'two-choices'];
+  const baselines = ['round-robin', 'least-outstanding', 'least-memory', 'two-choices'];
   return [
-    ...plain.map((name) => ({ name, baseline: name, sendsClass: false })),
+    ...baselines.map((name) => ({ name, baseline: name, sendsClass: false })),
     ...['least-memory', 'two-choices'].map((baseline) => ({
       name: `${baseline}+class`,
       baseline,
@@ -104,7 +104,7 @@
   }));
 }
 
-/** Capacity: the requests a second of the mix that the oracle gets through when flooded. */
+/** Measures the capacity of each mix: the requests per second that the oracle policy serves under overload. */
 async function findCapacities(): Promise<Map<string, number>> {
   const oracle = { name: 'oracle', overflowRisk: 0.5, isOracle: true, sendsClass: true };
   const jobs = traces.MIXES.flatMap(({ user }) =>
@@ -199,7 +199,7 @@
   });
 }
 
-/** Replays both users' mixes under every policy, load, dial and fault. */
+/** Replays both users' mixes under every policy, load, overflow risk and fault. */
 export async function run(): Promise<void> {
   const capacities = await findCapacities();
   const users = traces.MIXES.map((mix) => mix.user);
--- a/packages/bench/src/policy/replay.ts
+++ b/packages/bench/src/policy/replay.ts
@@ -8,30 +8,32 @@
 import * as simEngines from './sim-engine.js';
 import * as traces from './trace.js';
 
-/** The time of one message between daemons, or to an engine, in milliseconds. */
+/** Latency of one message between daemons or to an engine. */
 const MESSAGE_DELAY_MS = 1;
 
-/** How often daemons tell the owner of progress, and the owner looks at its queue, in milliseconds. */
+/** Interval at which daemons report progress to the owner. */
 const PROGRESS_INTERVAL_MS = 2_000;
+
+/** Interval at which the owner processes its queue. */
 const TICK_INTERVAL_MS = 100;
 
-/** How long a daemon waits before it asks again, in milliseconds. */
+/** Delay before a daemon repeats a grant request; also the unit of the random interval between cache losses. */
 const RETRY_DELAY_MS = 500;
 
-/** How long a moved pool is without an owner, in milliseconds. */
+/** Time that a pool is without an owner after the owner fails. */
 const OWNER_FAILOVER_MS = 3_000;
 
 const DAEMON_COUNT = 6;
 
-/** A fault in a replay. */
+/** A fault that a replay injects. */
 export type ReplayFault =
   'none' | 'engine-dies' | 'owner-dies' | 'late-reports' | 'cache-gaps' | 'mix-shifts';
 
-/** What a replay is. */
+/** Options of a replay. */
 export interface ReplayOptions {
   readonly mix: traces.Mix;
   readonly trace: readonly traces.TraceLine[];
-  /** Arrivals a second. */
+  /** Arrivals per second. */
   readonly rate: number;
   readonly engines: number;
   readonly durationS: number;
@@ -40,12 +42,12 @@
   readonly fault: ReplayFault;
 }
 
-/** How requests find engines in a replay. */
+/** Policy by which a replay assigns requests to engines. */
 export interface ReplayPolicy {
   readonly name: string;
-  /** The name of a baseline; none for the pool owner. */
+  /** Name of a baseline; undefined for the pool owner. */
   readonly baseline?: string;
-  /** Whether engines are told the class of a request, and so serve interactive work first. */
+  /** Whether requests to engines include their class, so that interactive work is served first. */
   readonly sendsClass: boolean;
   readonly overflowRisk?: number;
   readonly isOracle?: boolean;
@@ -55,11 +57,11 @@
   readonly id: string;
   readonly line: traces.TraceLine;
   readonly daemon: number;
-  readonly flight: measures.RequestInFlight;
+  readonly request: measures.RequestInFlight;
   engine: simEngines.SimEngine | undefined;
 }
 
-/** Replays a trace on virtual time against the stand-in of the engines, with the real decision classes. */
+/** Replays a trace on virtual time against simulated engines, with the production classes for decisions. */
 export class Replay {
   private readonly clock = new simClocks.SimClock();
   private readonly recorder: measures.Recorder;
@@ -101,7 +103,7 @@
     }
   }
 
-  /** Runs to the end and gives what was measured. */
+  /** Runs the replay and returns its measurements. */
   public run(): measures.ReplayMeasurements {
     const { options } = this;
     options.trace.forEach((line, i) => {
@@ -113,11 +115,11 @@
     this.injectFault();
     this.scheduleProgress();
     this.scheduleTicks();
-    // What arrived is followed to its end, so that slow policies can't hide what they held back.
+    // Requests that have arrived run to completion, so that a slow policy cannot hide the ones that it delayed.
     const limit = 4 * this.endMs;
     this.clock.run(() => {
-      const isDone = this.clock.now() > this.endMs && this.jobs.size === 0;
-      return isDone || this.clock.now() > limit;
+      const isFinished = this.clock.now() > this.endMs && this.jobs.size === 0;
+      return isFinished || this.clock.now() > limit;
     });
     return this.recorder.summarize((total) =>
       measures.shareMaxMin(
@@ -134,8 +136,8 @@
   private arrive(line: traces.TraceLine, i: number): void {
     const now = this.clock.now();
     const isMeasured = now >= this.options.warmupS * 1_000;
-    const shifted = this.applyMixShift(line, now);
-    const flight: measures.RequestInFlight = {
+    const effectiveLine = this.applyMixShift(line, now);
+    const request: measures.RequestInFlight = {
       team: line.team,
       isShort: line.class === 'interactive',
       arrivedAt: now,
@@ -145,13 +147,13 @@
       stallMs: 0,
     };
     if (isMeasured) {
-      this.demands.set(line.team, (this.demands.get(line.team) ?? 0) + shifted.outputTokens);
+      this.demands.set(line.team, (this.demands.get(line.team) ?? 0) + effectiveLine.outputTokens);
     }
     const job: Job = {
       id: `g${i}`,
-      line: shifted,
+      line: effectiveLine,
       daemon: i % DAEMON_COUNT,
-      flight,
+      request,
       engine: undefined,
     };
     this.jobs.set(job.id, job);
@@ -194,10 +196,10 @@
   }
 
   private dispatchByBaseline(job: Job, baseline: baselines.Baseline): void {
-    const alive = this.views[job.daemon]!.filter(
+    const available = this.views[job.daemon]!.filter(
       (item) => !this.findEngine(item.upstreamId).isDead,
     );
-    const chosen = baseline.choose(alive, this.random);
+    const chosen = baseline.choose(available, this.random);
     chosen.outstanding += 1;
     chosen.sentSince += job.line.promptTokens;
     const engine = this.findEngine(chosen.upstreamId);
@@ -210,7 +212,7 @@
       return;
     }
     job.engine = engine;
-    const { line, flight } = job;
+    const { line, request } = job;
     engine.submit({
       id: job.id,
       promptTokens: line.promptTokens,
@@ -218,32 +220,32 @@
       priority: !this.policy.sendsClass || line.class === 'interactive' ? 0 : 1,
       prefix: line.prefix,
       prefixTokens: line.prefixTokens,
-      onToken: () => this.recorder.recordToken(flight, this.clock.now()),
+      onToken: () => this.recorder.recordToken(request, this.clock.now()),
       onEnd: () => this.end(job, true),
-      onPreempt: () => this.recorder.recordPreemption(flight),
+      onPreempt: () => this.recorder.recordPreemption(request),
     });
   }
 
-  private end(job: Job, isNatural: boolean): void {
+  private end(job: Job, isCompleted: boolean): void {
     this.jobs.delete(job.id);
-    if (isNatural) {
-      this.recorder.recordEnd(job.flight, this.clock.now());
+    if (isCompleted) {
+      this.recorder.recordEnd(job.request, this.clock.now());
     }
     const upstreamId = job.engine?.upstreamId;
-    const seen = this.views[job.daemon]!.find((item) => item.upstreamId === upstreamId);
-    if (seen !== undefined) {
-      seen.outstanding -= 1;
+    const view = this.views[job.daemon]!.find((item) => item.upstreamId === upstreamId);
+    if (view !== undefined) {
+      view.outstanding -= 1;
     }
     this.clock.after(MESSAGE_DELAY_MS, () => {
-      this.owner?.finish(job.id, job.flight.tokens, isNatural);
+      this.owner?.finish(job.id, job.request.tokens, isCompleted);
     });
   }
 
-  /** A request whose engine is gone: told so when it had delivered something, else tried again. */
+  /** Handles a request whose engine has failed: breaks it when it had delivered tokens, else sends it again. */
   private retry(job: Job): void {
     this.end(job, false);
-    if (job.flight.tokens > 0) {
-      this.recorder.recordBreak(job.flight);
+    if (job.request.tokens > 0) {
+      this.recorder.recordBreak(job.request);
       return;
     }
     job.engine = undefined;
@@ -257,9 +259,9 @@
 
   private handleReport(engine: simEngines.SimEngine, report: schemas.LoadReport): void {
     this.views.forEach((list) => {
-      const seen = list.find((item) => item.upstreamId === engine.upstreamId)!;
-      seen.report = report;
-      seen.sentSince = 0;
+      const view = list.find((item) => item.upstreamId === engine.upstreamId)!;
+      view.report = report;
+      view.sentSince = 0;
     });
     if (!this.isOwnerDown) {
       this.owner?.applyReport(engine.upstreamId, report);
@@ -281,8 +283,8 @@
   }
 
   private setUpstreams(): void {
-    const alive = this.engines.filter((engine) => !engine.isDead);
-    this.owner?.setUpstreams(alive.map(({ upstreamId }) => ({ upstreamId, isLeaving: false })));
+    const available = this.engines.filter((engine) => !engine.isDead);
+    this.owner?.setUpstreams(available.map(({ upstreamId }) => ({ upstreamId, isLeaving: false })));
   }
 
   private scheduleProgress(): void {
@@ -291,7 +293,7 @@
       for (let i = 0; i < DAEMON_COUNT; i += 1) {
         const tokens = [...this.jobs.values()]
           .filter((job) => job.daemon === i && job.engine !== undefined)
-          .map((job): [string, number] => [job.id, job.flight.tokens]);
+          .map((job): [string, number] => [job.id, job.request.tokens]);
         this.clock.after(MESSAGE_DELAY_MS, () =>
           owner.applyProgress({ daemonId: `d${i}`, tokens }),
         );
@@ -337,7 +339,10 @@
     });
   }
 
-  /** The owner dies with its account; daemons register with the next one what runs and what waits. */
+  /**
+   * Fails the owner with its ledger. Daemons then register running requests with its successor and request grants again
+   * for waiting ones.
+   */
   private killOwner(): void {
     if (this.owner === undefined) {
       return;
@@ -368,7 +373,7 @@
       workClass: line.class,
       promptTokens: line.promptTokens,
       maxTokens: 32_768,
-      tokens: job.flight.tokens,
+      tokens: job.request.tokens,
     });
   }
 
--- a/packages/bench/src/policy/sim-clock.ts
+++ b/packages/bench/src/policy/sim-clock.ts
@@ -7,7 +7,7 @@
   readonly run: () => void;
 }
 
-/** Virtual time that runs from event to event. */
+/** A virtual clock that advances from event to event. */
 export class SimClock implements schemas.Clock {
   private time = 0;
   private order = 0;
@@ -26,15 +26,15 @@
     });
   }
 
-  /** Runs something `ms` from now. */
+  /** Schedules a function to run in `ms` milliseconds. */
   public after(ms: number, run: () => void): void {
     this.order += 1;
     this.events.push({ at: this.time + Math.max(0, ms), order: this.order, run });
   }
 
-  /** Runs events until there are none or `isOver` says so. */
-  public run(isOver: () => boolean): void {
-    while (!isOver()) {
+  /** Runs events until none is left or `isFinished` returns true. */
+  public run(isFinished: () => boolean): void {
+    while (!isFinished()) {
       const event = this.events.pop();
       if (event === undefined) {
         return;
--- a/packages/bench/src/policy/sim-engine.ts
+++ b/packages/bench/src/policy/sim-engine.ts
@@ -3,15 +3,15 @@
 
 import type * as simClocks from './sim-clock.js';
 
-/** How often an engine makes a load report, and how late it is read, in milliseconds. */
+/** Interval between load reports of an engine, and their age when they are read. */
 const REPORT_INTERVAL_MS = 500;
 const REPORT_LAG_MS = 200;
 
-/** One engine on virtual time. */
+/** An engine model on virtual time. */
 export class SimEngine {
   public readonly model: fakes.EngineModel;
   public isDead = false;
-  /** Extra age of reports, for the fault of late ones. */
+  /** Additional age of reports in milliseconds, for the `late-reports` fault. */
   public extraLagMs = 0;
   private isStepping = false;
   private readonly jobs = new Map<string, fakes.EngineJob>();
@@ -25,7 +25,7 @@
     this.scheduleReports();
   }
 
-  /** Takes in a job. */
+  /** Adds a job to the queue. */
   public submit(job: fakes.EngineJob): void {
     this.jobs.set(job.id, job);
     this.model.submit({
@@ -38,7 +38,7 @@
     this.step();
   }
 
-  /** Ends at once; gives the jobs that were lost with it. */
+  /** Fails the engine at once and returns the ids of the jobs that are lost with it. */
   public die(): string[] {
     this.isDead = true;
     return [...this.jobs.keys()];
--- a/packages/bench/src/policy/trace.ts
+++ b/packages/bench/src/policy/trace.ts
@@ -5,7 +5,7 @@
 
 /** One request of a trace. */
 export const traceLine = z.object({
-  /** Seconds from the start, at the trace's own rate. */
+  /** Seconds from the start at one request per second; a replay scales it by its rate. */
   arrival: z.number(),
   team: z.string(),
   model: z.string(),
@@ -24,16 +24,16 @@
 interface Kind {
   readonly kind: string;
   readonly class: TraceLine['class'];
-  /** Requests for each draft or summary. */
+  /** Number of requests for each draft or summary. */
   readonly share: number;
   readonly prompt: readonly [number, number];
-  /** Median and spread of the log-normal output length. */
+  /** Median in tokens, and sigma, of the log-normal output length. */
   readonly output: readonly [number, number];
   readonly prefixes: number;
   readonly prefixTokens: number;
 }
 
-/** A user's mix of work, and their teams with weight and share of the demand. */
+/** A user's workload mix, and their teams with weight and share of the demand. */
 export interface Mix {
   readonly user: string;
   readonly model: string;
@@ -53,7 +53,7 @@
   { name: 'small-two', weight: 1, demand: 0.1 },
 ];
 
-/** The mixes of both users; what their letters say of them, in figures that we chose. */
+/** The workload mixes of both users; the figures are assumptions made from the users' descriptions. */
 export const MIXES: readonly Mix[] = [
   {
     user: 'kalahari',
@@ -118,7 +118,7 @@
 
 const MAX_OUTPUT_TOKENS = 24_000;
 
-/** A seeded source of random numbers. */
+/** A seeded random number generator. */
 export class Random {
   private readonly rng: ReturnType<typeof xoroshiro.xoroshiro128plus>;
 
@@ -126,24 +126,24 @@
     this.rng = xoroshiro.xoroshiro128plus(seed);
   }
 
-  /** From 0 up to 1. */
+  /** Returns a number from 0 (included) to 1 (excluded). */
   public next(): number {
     return (this.rng.next() >>> 0) / 2 ** 32;
   }
 
-  /** A whole number from a range, both ends included. */
+  /** Returns an integer from a range, both ends included. */
   public between(low: number, high: number): number {
     return low + Math.floor(this.next() * (high - low + 1));
   }
 
-  /** Normally distributed around 0. */
+  /** Returns a number from the standard normal distribution. */
   public normal(): number {
     const radius = Math.sqrt(-2 * Math.log(1 - this.next()));
     return radius * Math.cos(2 * Math.PI * this.next());
   }
 }
 
-/** Makes a trace of a mix: a Poisson stream of `count` requests at one a second. */
+/** Creates a trace of a mix: a Poisson process of `count` requests at one per second. */
 export function createTrace(mix: Mix, seed: number, count: number): TraceLine[] {
   const random = new Random(seed * 7_919 + mix.user.length);
   let arrival = 0;
@@ -151,8 +151,8 @@
     arrival -= Math.log(1 - random.next());
     const kind = pick(mix.kinds, (item) => item.share, random);
     const team = pick(mix.teams, (item) => item.demand, random);
-    const [median, spread] = kind.output;
-    const length = Math.round(median * Math.exp(spread * random.normal()));
+    const [median, sigma] = kind.output;
+    const length = Math.round(median * Math.exp(sigma * random.normal()));
     return {
       arrival: Number(arrival.toFixed(4)),
       team: team.name,
@@ -183,6 +183,6 @@
 
 function pick<T>(items: readonly T[], getShare: (item: T) => number, random: Random): T {
   const total = items.reduce((sum, item) => sum + getShare(item), 0);
-  let rest = random.next() * total;
-  return items.find((item) => (rest -= getShare(item)) < 0) ?? items.at(-1)!;
+  let remaining = random.next() * total;
+  return items.find((item) => (remaining -= getShare(item)) < 0) ?? items.at(-1)!;
 }
--- a/packages/bench/src/process-usage.ts
+++ b/packages/bench/src/process-usage.ts
@@ -1,18 +1,18 @@
 import * as fs from 'node:fs';
 
-/** The kernel counts processor time in hundredths of a second. */
+/** Unit of processor time in /proc (USER_HZ): hundredths of a second. */
 const TICKS_PER_SECOND = 100;
 
-/** The kernel counts memory in pages. */
+/** Unit of memory in /proc/PID/stat. */
 const PAGE_BYTES = 4_096;
 
-/** What a process has used so far. */
+/** Processor time used by a process so far, and its resident memory. */
 export interface Usage {
   readonly cpuS: number;
   readonly memoryMb: number;
 }
 
-/** Reads what a process has used so far, itself and its threads. */
+/** Reads the resource usage of a process with all its threads. */
 export function getUsage(pid: number): Usage {
   const stat = fs.readFileSync(`/proc/${pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
--- a/packages/bench/src/quickstart.ts
+++ b/packages/bench/src/quickstart.ts
@@ -45,7 +45,7 @@
   const jobs = Array.from({ length: 32 }, (_, i) => {
     const isSales = i % 2 === 0;
     const token = isSales ? 'example-token-sales' : 'example-token-schedulers';
-    // The schedulers' data may not be in the third zone, so their client uses the first two.
+    // The schedulers' data is not allowed in the third zone, so their client uses only the first two.
     const reachable = urls.filter((_u, at) => isSales || at % ZONES.length !== 2);
     const target = reachable[i % reachable.length] ?? '';
     const body = createBody(i, lengths[i % lengths.length] ?? 12);
@@ -106,7 +106,7 @@
     .forEach((row) => printLine(`BROKEN ${row.what}: ${row.checked.detail.slice(0, 300)}`));
 }
 
-function printHowToTry(deployment: deployments.Deployment, folder: string): void {
+function printUsage(deployment: deployments.Deployment, folder: string): void {
   printLine('');
   printLine('It is running. Try:');
   printLine(`  export BRAMLEYRIDGE_URL=${deployment.listUrls().join(',')}`);
@@ -122,7 +122,7 @@
 }
 
 async function main(): Promise<void> {
-  const wantsStay = process.argv.includes('--stay');
+  const keepsRunning = process.argv.includes('--stay');
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'bramleyridge-'));
   const deployment = new deployments.Deployment({
     folder,
@@ -152,9 +152,9 @@
     );
     rows.push(...(await Promise.all(confirms)));
     rows.push(await timed('refused: wrong zone', checkZoneRefusal(deployment.getUrl(2))));
-    if (wantsStay) {
+    if (keepsRunning) {
       printTable(rows);
-      printHowToTry(deployment, folder);
+      printUsage(deployment, folder);
       await new Promise((resolve) => {
         process.once('SIGINT', resolve);
       });
@@ -175,7 +175,7 @@
     printTable(rows);
     const failed = codes.filter((code) => code !== 0);
     if (failed.length > 0) {
-      throw new Error(`${failed.length} daemons ended with an error`);
+      throw new Error(`${failed.length} daemons exited with an error`);
     }
   } finally {
     await deployment.end();
--- a/packages/bench/src/relay/load-main.ts
+++ b/packages/bench/src/relay/load-main.ts
@@ -2,7 +2,7 @@
 
 import * as hdr from 'hdr-histogram-js';
 
-/** What one load process is told, as JSON in its first argument. */
+/** Options of one load process, passed as JSON in its first argument. */
 interface LoadOptions {
   readonly url: string;
   readonly token: string;
--- a/packages/bench/src/relay/passthrough-main.ts
+++ b/packages/bench/src/relay/passthrough-main.ts
@@ -3,18 +3,18 @@
 const [, , target] = process.argv;
 const agent = new http.Agent({ keepAlive: true });
 
-/** The least that a proxy can do: pipe the request there and the answer back. */
+/** A minimal proxy that only pipes the request to the target and the response back. */
 const server = http.createServer((req, res) => {
-  const upstream = http.request(
+  const upstreamReq = http.request(
     `${target}${req.url}`,
     { method: req.method, headers: { ...req.headers, 'x-request-id': 'g' }, agent },
-    (answer) => {
-      res.writeHead(answer.statusCode ?? 502, answer.headers);
-      answer.pipe(res);
+    (upstreamRes) => {
+      res.writeHead(upstreamRes.statusCode ?? 502, upstreamRes.headers);
+      upstreamRes.pipe(res);
     },
   );
-  upstream.on('error', () => res.destroy());
-  req.pipe(upstream);
+  upstreamReq.on('error', () => res.destroy());
+  req.pipe(upstreamReq);
 });
 server.on('connection', (socket) => socket.setNoDelay(true));
 server.listen(0, '127.0.0.1', () => {
--- a/packages/bench/src/relay/relay-bench.ts
+++ b/packages/bench/src/relay/relay-bench.ts
@@ -13,7 +13,7 @@
 const WARMUP_MS = 2_500;
 const MEASURE_MS = 6_000;
 
-/** Loads: few streams for the delay, many for the throughput and the memory. */
+/** Loads: few streams to measure latency, many to measure throughput and memory. */
 const LOADS = [
   { name: '2,600 tokens/s', streams: 100, rate: 26 },
   { name: '10,000 tokens/s', streams: 200, rate: 50 },
@@ -29,7 +29,7 @@
   readonly p99Us: number;
 }
 
-/** One load through one path. */
+/** Measurements of one load over one path. */
 export interface RelayRow {
   readonly load: string;
   readonly path: string;
@@ -49,21 +49,21 @@
   url: string,
   pid: number | undefined,
 ): Promise<RelayRow> {
-  const loaders = 2;
+  const loadProcesses = 2;
   const program = children.getProgram('bench', 'relay/load-main.js');
   const options = {
     url,
     token: TOKEN,
-    streams: load.streams / loaders,
+    streams: load.streams / loadProcesses,
     rate: load.rate,
     warmupMs: WARMUP_MS,
     measureMs: MEASURE_MS,
   };
-  const runs = Array.from({ length: loaders }, () =>
+  const runs = Array.from({ length: loadProcesses }, () =>
     children.runProgram([program, JSON.stringify(options)], {}),
   );
-  const openingMs = (load.streams / loaders / 20) * 20;
-  await deployments.pause(openingMs + WARMUP_MS + 500);
+  const rampUpMs = (load.streams / loadProcesses / 20) * 20;
+  await deployments.pause(rampUpMs + WARMUP_MS + 500);
   const before = pid === undefined ? undefined : usages.getUsage(pid);
   const at = performance.now();
   await deployments.pause(MEASURE_MS - 1_500);
@@ -83,7 +83,7 @@
     offeredPerS: load.streams * load.rate,
     tokensPerS: Math.round(tokensPerS),
     failed: sum((result) => result.failed),
-    p50Ms: sum((result) => result.p50Us) / loaders / 1_000,
+    p50Ms: sum((result) => result.p50Us) / loadProcesses / 1_000,
     p99Ms: Math.max(...results.map((result) => result.p99Us)) / 1_000,
     cpuShare: cpuS / seconds,
     cpuUsPerToken: (cpuS / seconds / tokensPerS) * 1e6,
@@ -156,7 +156,7 @@
   });
 }
 
-/** One daemon on one core, beside a bare pass-through, in the same run. */
+/** Measures one daemon on one core, together with a minimal proxy and a direct connection in the same run. */
 export async function run(): Promise<void> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'bramleyridge-relay-'));
   const start = (file: string, ...args: string[]) =>
--- a/packages/bench/src/relay/source-main.ts
+++ b/packages/bench/src/relay/source-main.ts
@@ -1,7 +1,7 @@
 import * as http from 'node:http';
 import type * as net from 'node:net';
 
-/** How often the source writes, in milliseconds; streams are spread over the ticks. */
+/** Interval at which the source writes due events; the due times of streams are spread over the ticks. */
 const TICK_MS = 2;
 
 const MODEL = { model: 'spot-drafter', version: 'v1' };
@@ -22,7 +22,7 @@
 
 const streams = new Set<Stream>();
 
-/** The wall clock with fractions, common to the processes of one machine. */
+/** Returns the wall-clock time in fractional milliseconds, which the processes of one machine share. */
 function now(): number {
   return performance.timeOrigin + performance.now();
 }
@@ -64,7 +64,7 @@
     everyMs,
     total: body.fake_output_tokens ?? 1_000,
     next: 0,
-    // Spread over the period, as the steps of many engines are.
+    // A random phase spreads the streams over the period, like the steps of many engines.
     dueAt: performance.now() + Math.random() * everyMs,
   };
   streams.add(stream);
--- a/packages/bench/src/report.ts
+++ b/packages/bench/src/report.ts
@@ -3,7 +3,7 @@
 import * as path from 'node:path';
 import * as url from 'node:url';
 
-/** Where results are kept, as JSON beside the page that shows them. */
+/** Folder of the results: a JSON file and a Markdown page for each benchmark. */
 export const RESULTS_FOLDER = url.fileURLToPath(
   new URL('../../../../docs/measurements', import.meta.url),
 );
@@ -11,7 +11,7 @@
 /** A row of a table. */
 export type TableRow = Readonly<Record<string, string | number>>;
 
-/** A table as Markdown. */
+/** Creates a Markdown table. */
 export function createTable(rows: readonly TableRow[]): string {
   const columns = Object.keys(rows[0] ?? {});
   const line = (cells: readonly (string | number)[]) => `| ${cells.join(' | ')} |`;
@@ -22,12 +22,12 @@
   ].join('\n');
 }
 
-/** A heading with a table. */
+/** Creates a heading with a Markdown table. */
 export function createSection(title: string, rows: readonly TableRow[]): string {
   return `## ${title}\n\n${createTable(rows)}\n`;
 }
 
-/** What the figures were measured on. */
+/** Describes the machine on which the figures are measured. */
 export function getMachine(): { cores: number; memoryGb: number; node: string; model: string } {
   return {
     cores: os.cpus().length,
@@ -37,7 +37,7 @@
   };
 }
 
-/** Keeps results as JSON and as a page, and prints the page. */
+/** Writes results as JSON and as a page, and prints the page. */
 export function writeResults(name: string, results: object, sections: readonly string[]): void {
   fs.mkdirSync(RESULTS_FOLDER, { recursive: true });
   const json = { machine: getMachine(), ...results };
@@ -48,7 +48,7 @@
   process.stdout.write(`${page}\n`);
 }
 
-/** Reads results that were kept; nothing when there are none. */
+/** Reads stored results; returns undefined when there are none. */
 export function findResults<T>(name: string): T | undefined {
   const file = path.join(RESULTS_FOLDER, `${name}.json`);
   return fs.existsSync(file) ? (JSON.parse(fs.readFileSync(file, 'utf8')) as T) : undefined;
--- a/packages/bench/src/watch-measure.ts
+++ b/packages/bench/src/watch-measure.ts
@@ -8,17 +8,17 @@
 
 const READ_COUNTS = [2_000, 4_000, 8_000] as const;
 
-/** Reads before the measurement, until the code is compiled. */
+/** Number of reads before the measurement, so that the code is compiled by then. */
 const WARM_UP_READS = 3_000;
 const CONCURRENT_READS = 10;
 
-/** What reading load reports costs the reader. */
+/** Processor time for reading load reports. */
 export interface ReportReadRow {
   readonly reports: number;
   readonly cpuUsPerReport: number;
 }
 
-/** Processor time for each load report that a pool owner reads, from a server in another process. */
+/** Measures the processor time for each load report that a pool owner reads from a server in another process. */
 export async function measureReportReads(): Promise<ReportReadRow[]> {
   const log = path.join(os.tmpdir(), `bramleyridge-watch-${process.pid}.log`);
   const source = new children.Child([children.getProgram('bench', 'relay/source-main.js')], log);
@@ -32,17 +32,17 @@
     state: 'live',
     checksFencing: true,
   };
-  const poll = async () => {
+  const readReport = async () => {
     schemas.parse(schemas.loadReport, await engines.getJson(upstream, '/load'), 'load-report');
   };
   const rows: ReportReadRow[] = [];
   for (let i = 0; i < WARM_UP_READS; i += CONCURRENT_READS) {
-    await Promise.all(Array.from({ length: CONCURRENT_READS }, poll));
+    await Promise.all(Array.from({ length: CONCURRENT_READS }, readReport));
   }
   for (const reports of READ_COUNTS) {
     const before = process.cpuUsage();
     for (let i = 0; i < reports; i += CONCURRENT_READS) {
-      await Promise.all(Array.from({ length: CONCURRENT_READS }, poll));
+      await Promise.all(Array.from({ length: CONCURRENT_READS }, readReport));
     }
     const used = process.cpuUsage(before);
     rows.push({ reports, cpuUsPerReport: (used.user + used.system) / reports });
--- a/packages/bench/src/worker-pool.ts
+++ b/packages/bench/src/worker-pool.ts
@@ -1,26 +1,26 @@
 import * as os from 'node:os';
 import * as workers from 'node:worker_threads';
 
-/** Runs jobs on a worker for each core but one; results come in the order of the jobs. */
+/** Runs jobs on one worker thread for each core but one; returns the results in the order of the jobs. */
 export async function runJobs<J, R>(program: URL, jobs: readonly J[]): Promise<R[]> {
   const results: R[] = new Array<R>(jobs.length);
   let next = 0;
   const runWorker = async (): Promise<void> => {
     const worker = new workers.Worker(program);
     for (;;) {
-      const at = next;
+      const index = next;
       next += 1;
-      if (at >= jobs.length) {
+      if (index >= jobs.length) {
         break;
       }
-      results[at] = await new Promise<R>((resolve, reject) => {
+      results[index] = await new Promise<R>((resolve, reject) => {
         const settle = (result: R) => {
           worker.off('error', reject);
           resolve(result);
         };
         worker.once('message', settle);
         worker.once('error', reject);
-        worker.postMessage(jobs[at]);
+        worker.postMessage(jobs[index]);
       });
     }
     await worker.terminate();
--- a/packages/bench/tests/known-red.test.ts
+++ b/packages/bench/tests/known-red.test.ts
@@ -1,8 +1,8 @@
 import * as tap from 'tap';
 
-import * as knownReds from '../src/known-red.js';
+import * as knownRedTests from '../src/known-red.js';
 
-const LISTED = knownReds.parseKnownRed(
+const LISTED = knownRedTests.parseKnownRed(
   'packages/a/tests/b "known one" | npm test, seed 7 | issue 1\n',
 );
 const FILE = 'packages/a/dist/tests/b.test.js';
@@ -16,9 +16,9 @@
   return `TAP version 14\n${blocks.join('\n')}\n1..${results.length}\n`;
 }
 
-void tap.default.test('only the tests that are listed are passed over', async (t) => {
+void tap.default.test('ignores failures of listed tests only', async (t) => {
   const judge = (stdout: string, code: number | null = 1, file = FILE) =>
-    knownReds.judgeTestRun({ file, code, stdout }, LISTED);
+    knownRedTests.judgeTestRun({ file, code, stdout }, LISTED);
   const known = createTap([
     ['known one', false],
     ['other', true],
@@ -29,32 +29,32 @@
     ['known one', false],
     ['other', false],
   ]);
-  t.equal(judge(other).failed, 1, 'another test of the same file counts');
+  t.equal(judge(other).failed, 1, 'counts another failed test of the same file');
   t.equal(
     judge(known, 1, 'packages/a/dist/tests/c.test.js').failed,
     1,
-    'and the same name elsewhere',
+    'counts a test of the same name in another file',
   );
   return Promise.resolve();
 });
 
 void tap.default.test(
-  'a file that does not come to its end counts, whatever is listed',
+  'counts a file that does not run to completion, whatever is listed',
   async (t) => {
     const known = createTap([['known one', false]]);
     const judge = (stdout: string, code: number | null) =>
-      knownReds.judgeTestRun({ file: FILE, code, stdout }, LISTED).failed;
+      knownRedTests.judgeTestRun({ file: FILE, code, stdout }, LISTED).failed;
     t.equal(judge(known.replace('1..1\n', '').replace('1..1\n', ''), 1), 1, 'no plan');
     t.equal(judge(known.replace(/1\.\.1\n$/, '1..2\n'), 1), 1, 'a test is missing');
     t.equal(judge(known, null), 1, 'killed');
-    t.equal(judge(createTap([['other', true]]), 1), 1, 'a failure that no test tells');
+    t.equal(judge(createTap([['other', true]]), 1), 1, 'an error code without a failed test');
     t.equal(judge('', 0), 1, 'nothing ran');
     return Promise.resolve();
   },
 );
 
-void tap.default.test('a line that names no test is an error', async (t) => {
-  t.throws(() => knownReds.parseKnownRed('packages/a/tests/b fails sometimes'));
-  t.same(knownReds.parseKnownRed('\n'), []);
+void tap.default.test('rejects a line that names no test', async (t) => {
+  t.throws(() => knownRedTests.parseKnownRed('packages/a/tests/b fails sometimes'));
+  t.same(knownRedTests.parseKnownRed('\n'), []);
   return Promise.resolve();
 });
--- a/packages/bench/tests/replay.test.ts
+++ b/packages/bench/tests/replay.test.ts
@@ -12,7 +12,7 @@
   sendsClass: false,
 };
 
-/** Recorded traces with the rate that crowds four engines. */
+/** Recorded traces, each with a rate that overloads four engines. */
 const RECORDED = [
   { user: 'kalahari', rate: 22 },
   { user: 'exit-survey', rate: 9 },
@@ -32,13 +32,13 @@
   return new replays.Replay(options, policy).run();
 }
 
-void tap.default.test('recorded traces replay to the stated outcomes', async (t) => {
-  // Crowded engines: the owner preempts at most a third as often as a balancer that watches memory,
-  // checks pass the drafts, everything is answered, and a rerun gives the same figures.
+void tap.default.test('replays of recorded traces meet the policy targets', async (t) => {
+  // On overloaded engines the pool owner preempts at most a third as often as a balancer by reported memory and at
+  // most halves the p99 of short requests, every request completes, and a rerun gives the same figures.
   RECORDED.forEach(({ user, rate }) => {
     const owner = replay(user, rate, OWNER);
     const balancer = replay(user, rate, BALANCER);
-    t.equal(owner.completed, balancer.completed, `${user}: everything is answered`);
+    t.equal(owner.completed, balancer.completed, `${user}: every request completes`);
     t.equal(owner.refused + owner.broken, 0, `${user}: nothing is refused or broken`);
     t.ok(
       balancer.preemptionsPer1000 > 10,
@@ -48,18 +48,25 @@
       owner.preemptionsPer1000 <= balancer.preemptionsPer1000 / 3,
       `${user}: the owner preempts ${owner.preemptionsPer1000}`,
     );
-    t.ok(owner.shortP99Ms <= balancer.shortP99Ms / 2, `${user}: checks pass drafts`);
+    t.ok(
+      owner.shortP99Ms <= balancer.shortP99Ms / 2,
+      `${user}: short requests overtake long generations`,
+    );
     t.same(replay(user, rate, OWNER), owner, `${user}: a rerun gives the same figures`);
   });
 });
 
-void tap.default.test('faults in a replay leave nothing behind', async (t) => {
+void tap.default.test('every request ends despite faults in a replay', async (t) => {
   const cases = ['engine-dies', 'owner-dies', 'late-reports', 'cache-gaps', 'mix-shifts'] as const;
-  const calm = replay('kalahari', 22, OWNER);
+  const faultless = replay('kalahari', 22, OWNER);
   cases.forEach((fault) => {
     const measured = replay('kalahari', 22, OWNER, fault);
     const answered = measured.completed + measured.broken;
-    t.equal(answered, calm.completed, `${fault}: every request is answered or told that it broke`);
+    t.equal(
+      answered,
+      faultless.completed,
+      `${fault}: every request completes or is reported as broken`,
+    );
     t.ok(fault === 'engine-dies' || measured.broken === 0, `${fault}: broken ${measured.broken}`);
   });
 });
--- a/packages/fakes/src/held-ports.ts
+++ b/packages/fakes/src/held-ports.ts
@@ -4,8 +4,8 @@
 const RESERVATION_HOST = '127.0.0.1';
 
 /**
- * Address on which reserved ports are used. Outgoing loopback connections use the other address as their source, so their
- * ephemeral ports never take one of these.
+ * Address on which reserved ports are used. Outgoing loopback connections use the other address as their source, so
+ * their ephemeral ports never take one of these.
  */
 export const HELD_PORT_HOST = '127.0.0.2';
 
--- a/packages/fakes/src/token-text.ts
+++ b/packages/fakes/src/token-text.ts
@@ -13,7 +13,7 @@
   return Array.from({ length: tokens }, (_, i) => getTokenText(generation, i)).join('');
 }
 
-/** Returns an output length for a prompt without a given one: derived from the prompt, heavy-tailed, at most `maxTokens`. */
+/** Returns a heavy-tailed output length of at most `maxTokens`, derived from a hash of the prompt. */
 export function getOutputTokens(prompt: string, maxTokens: number): number {
   const share = (schemas.getHash32(`length/${prompt}`) % 10_000) / 10_000;
   return Math.max(1, Math.min(maxTokens, Math.round(8 / (1 - share) ** 0.8)));
--- a/scripts/quickstart.mjs
+++ b/scripts/quickstart.mjs
@@ -1,4 +1,4 @@
-// Installs dependencies, builds the project and runs the quickstart on loopback; passes its arguments on to the program.
+// Installs dependencies, builds the project and runs the quickstart on loopback with the given arguments.
 import { spawnSync } from 'node:child_process';
 import * as fs from 'node:fs';
 
