--- a/packages/bench/src/capacity/capacity-bench.ts
+++ b/packages/bench/src/capacity/capacity-bench.ts
@@ -20,32 +20,32 @@
   readonly budget: rowsFile.Budget;
 }
 
-interface Held {
+interface BudgetedRow {
   readonly row: rowsFile.CapacityRow;
   readonly today: rowsFile.CapacityRow;
   readonly limit: number | undefined;
 }
 
-function isBroken({ limit, row }: Held): boolean {
+function isOverBudget({ limit, row }: BudgetedRow): boolean {
   return limit !== undefined && row.value > limit;
 }
 
-function show(value: number): string {
+function formatValue(value: number): string {
   return value < 10 ? value.toPrecision(2) : Math.round(value).toLocaleString('en');
 }
 
-function createRoleTable(held: readonly Held[]): string {
+function createRoleTable(budgetedRows: readonly BudgetedRow[]): string {
   return reports.createTable(
-    held.map((item) => ({
+    budgetedRows.map((item) => ({
       role: item.row.role,
       figure: item.row.what,
       kind: item.row.isControl ? 'control' : 'data',
       'worked out as': item.row.formula,
       'measured by': item.row.command,
-      today: show(item.today.value),
-      target: `${show(item.row.value)}${item.row.isExtrapolated ? ' *' : ''}`,
-      budget: item.limit === undefined ? '' : show(item.limit),
-      verdict: isBroken(item) ? '**over**' : 'within',
+      today: formatValue(item.today.value),
+      target: `${formatValue(item.row.value)}${item.row.isExtrapolated ? ' *' : ''}`,
+      budget: item.limit === undefined ? '' : formatValue(item.limit),
+      verdict: isOverBudget(item) ? '**over**' : 'within',
       'carried by': item.row.mechanism,
     })),
   );
@@ -74,7 +74,7 @@
   );
 }
 
-/** Bytes of a zone's list with so many daemons, as it travels after each change. */
+/** Returns the encoded size in bytes of a zone's member list, which is sent after each change. */
 function getListBytes(daemons: number): number {
   const member = (i: number): schemas.Member => ({
     daemonId: `region-one-a-${i}`,
@@ -93,12 +93,12 @@
 
 function createPage(sizes: SizesFile, slopes: slopesFile.Slopes): string {
   const today = rowsFile.createRows(slopes, sizes.today);
-  const held = rowsFile.createRows(slopes, sizes.target).map((row, i) => ({
+  const budgetedRows = rowsFile.createRows(slopes, sizes.target).map((row, i) => ({
     row,
     today: today[i]!,
     limit: rowsFile.findLimit(row, sizes.budget),
   }));
-  const broken = held.filter(isBroken);
+  const rowsOverBudget = budgetedRows.filter(isOverBudget);
   const listBytes = getListBytes(sizes.target.daemons / sizes.target.zones);
   return [
     '# Capacity',
@@ -110,10 +110,10 @@
     createSizesTable(sizes),
     '## What each role spends',
     'Control is held against the budget of a daemon; data is what callers ask for, held against one core.',
-    createRoleTable(held),
+    createRoleTable(budgetedRows),
     '## Rows that break the budget, and what would mend them',
-    ...outcomes.createMends(
-      broken.map((item) => item.row),
+    ...outcomes.createRemedies(
+      rowsOverBudget.map((item) => item.row),
       sizes.target,
       sizes.budget,
     ),
@@ -133,7 +133,7 @@
   return `${machine.cores} cores (${machine.model}), ${machine.memoryGb} GB, Node.js ${machine.node}`;
 }
 
-/** Writes the page, or with `isCheck` fails where it and the figures disagree. */
+/** Writes the page; with `isCheck` it only compares, and fails when the page and the figures disagree. */
 export async function run(isCheck: boolean): Promise<void> {
   const sizes = JSON.parse(fs.readFileSync(SIZES_FILE, 'utf8')) as SizesFile;
   const page = createPage(sizes, slopesFile.readSlopes());
@@ -143,8 +143,8 @@
     process.stdout.write(`${PAGE_FILE} is written\n`);
     return;
   }
-  const found = fs.existsSync(PAGE_FILE) ? fs.readFileSync(PAGE_FILE, 'utf8') : '';
-  if (found !== text) {
+  const current = fs.existsSync(PAGE_FILE) ? fs.readFileSync(PAGE_FILE, 'utf8') : '';
+  if (current !== text) {
     process.stderr.write(
       'docs/CAPACITY.md and the figures disagree; run npm run bench -- capacity\n',
     );
--- a/packages/bench/src/check-answer.ts
+++ b/packages/bench/src/check-answer.ts
@@ -1,7 +1,7 @@
 import * as fakes from '@bramleyridge/fakes';
 
-/** What one request came to. */
-export interface Checked {
+/** Result of checking the response to one request. */
+export interface CheckResult {
   readonly kind: 'complete' | 'refused' | 'broken';
   readonly tokens: number;
   readonly detail: string;
@@ -13,27 +13,27 @@
   readonly error?: { readonly outcome: string; readonly message: string };
 }
 
-/** Sends a streamed completion and compares every token with what the engine says it generated. */
+/** Sends a streamed completion and compares every token with the text that a fake engine generates. */
 export async function checkStream(
   url: string,
   token: string,
   body: object,
   headers: Readonly<Record<string, string>> = {},
-): Promise<Checked> {
+): Promise<CheckResult> {
   const res = await fetch(`${url}/v1/chat/completions`, {
     method: 'POST',
     headers: { authorization: `Bearer ${token}`, 'content-type': 'application/json', ...headers },
     body: JSON.stringify({ ...body, stream: true }),
   });
   if (res.status !== 200) {
-    return refused(res, await res.text());
+    return checkRefusal(res, await res.text());
   }
   const generation = res.headers.get('bramleyridge-generation') ?? '';
   return checkEvents(generation, await res.text());
 }
 
-/** Compares the events of a stream with the generation that they name. */
-export function checkEvents(generation: string, text: string): Checked {
+/** Checks that the events of a stream are consecutive and hold the text of the given generation. */
+export function checkEvents(generation: string, text: string): CheckResult {
   let expected = 0;
   let outcome: StreamChunk['bramleyridge'];
   for (const event of text.split('\n\n').filter((part) => part.includes('data: '))) {
@@ -46,21 +46,25 @@
     outcome = chunk.bramleyridge ?? outcome;
     if (id !== null) {
       const content = chunk.choices?.[0]?.delta?.content ?? chunk.choices?.[0]?.text ?? '';
-      const isRight = id[1] === generation && Number(id[2]) === expected;
+      const isExpected = id[1] === generation && Number(id[2]) === expected;
       const isLast = content === '';
-      if (!isRight || (!isLast && content !== fakes.getTokenText(generation, expected))) {
+      if (!isExpected || (!isLast && content !== fakes.getTokenText(generation, expected))) {
         return { kind: 'broken', tokens: expected, detail: `event ${expected}: ${event}` };
       }
       expected += 1;
     }
   }
   const tokens = Math.max(0, expected - 1);
-  const isWhole = outcome?.outcome === 'complete' && outcome.tokens === tokens;
-  return { kind: isWhole ? 'complete' : 'broken', tokens, detail: JSON.stringify(outcome) };
+  const isComplete = outcome?.outcome === 'complete' && outcome.tokens === tokens;
+  return { kind: isComplete ? 'complete' : 'broken', tokens, detail: JSON.stringify(outcome) };
 }
 
-/** Sends a completion that is answered whole and compares its text. */
-export async function checkWhole(url: string, token: string, body: object): Promise<Checked> {
+/** Sends a completion without streaming and compares its text. */
+export async function checkBuffered(
+  url: string,
+  token: string,
+  body: object,
+): Promise<CheckResult> {
   const res = await fetch(`${url}/v1/chat/completions`, {
     method: 'POST',
     headers: { authorization: `Bearer ${token}`, 'content-type': 'application/json' },
@@ -68,7 +72,7 @@
   });
   const text = await res.text();
   if (res.status !== 200) {
-    return refused(res, text);
+    return checkRefusal(res, text);
   }
   const answer = JSON.parse(text) as {
     id: string;
@@ -76,13 +80,14 @@
     usage: { completion_tokens: number };
   };
   const tokens = answer.usage.completion_tokens;
-  const isSame = answer.choices[0]?.message.content === fakes.getText(answer.id, tokens);
+  const isSameText = answer.choices[0]?.message.content === fakes.getText(answer.id, tokens);
   const outcome = res.headers.get('bramleyridge-outcome');
-  const isWhole = isSame && outcome === 'complete';
-  return { kind: isWhole ? 'complete' : 'broken', tokens, detail: text.slice(0, 200) };
+  const isComplete = isSameText && outcome === 'complete';
+  return { kind: isComplete ? 'complete' : 'broken', tokens, detail: text.slice(0, 200) };
 }
 
-function refused(res: Response, text: string): Checked {
-  const isTrue = res.headers.get('bramleyridge-outcome') === 'not-run';
-  return { kind: isTrue ? 'refused' : 'broken', tokens: 0, detail: `${res.status} ${text}` };
+/** Returns `refused` only when the response states that the request was not run. */
+function checkRefusal(res: Response, text: string): CheckResult {
+  const isNotRun = res.headers.get('bramleyridge-outcome') === 'not-run';
+  return { kind: isNotRun ? 'refused' : 'broken', tokens: 0, detail: `${res.status} ${text}` };
 }
--- a/packages/bench/src/control/control-bench.ts
+++ b/packages/bench/src/control/control-bench.ts
@@ -10,16 +10,16 @@
 import * as reports from '../report.js';
 
 const ZONES = ['a', 'b', 'c', 'd'];
-const CHANGES = 60;
-const BACKLOG = 500;
+const CHANGE_COUNT = 60;
+const BACKLOG_CHANGES = 500;
 const INTENT_COUNTS = [100, 500, 2_000];
 const DAEMON_COUNTS = [12, 20, 40];
 const IDLE_MS = 8_000;
 
-/** How long daemons settle before their idle cost is measured, in milliseconds. */
+/** Time for daemons to settle before their idle cost is measured. */
 const SETTLE_MS = 16_000;
 
-/** How much faster than 250 a day the steady rate of changes is measured, so that some fall into the run. */
+/** Rate of steady changes, much higher than 250 a day, so that some fall into the measurement. */
 const CHANGES_PER_S = 0.5;
 
 interface Times {
@@ -45,13 +45,13 @@
   return [team, ...rest];
 }
 
-/** Calls of the operators' API of one deployment, and the time until hosts have a revision in force. */
+/** Client of one deployment's operator API that also waits until hosts have a revision in force. */
 class Operator {
   private count = 0;
 
   public constructor(private readonly deployment: deployments.Deployment) {}
 
-  /** Plans and confirms a change; gives the revision and when the confirmation was answered. */
+  /** Plans and confirms a change and returns its revision once the confirmation is answered. */
   public async change(files: readonly schemas.DeclarationFile[]): Promise<number> {
     this.count += 1;
     const requestId = `bench-${process.pid}-${this.count}`;
@@ -64,15 +64,15 @@
     return confirmed.revision;
   }
 
-  /** Waits until every host that answers has a revision in force. */
-  public async waitEverywhere(revision: number): Promise<void> {
+  /** Waits until every host whose process is running has a revision in force. */
+  public async waitInForceOnAll(revision: number): Promise<void> {
     const urls = this.deployment
       .listUrls()
-      .filter((_, i) => !this.deployment.daemons[i]!.child.isEnded());
-    await Promise.all(urls.map((url) => this.waitAt(url, revision)));
+      .filter((_, i) => !this.deployment.daemons[i]!.child.hasExited());
+    await Promise.all(urls.map((url) => this.waitInForceAt(url, revision)));
   }
 
-  private async waitAt(url: string, revision: number): Promise<void> {
+  private async waitInForceAt(url: string, revision: number): Promise<void> {
     for (;;) {
       const found = await fetch(`${url}/readyz`)
         .then((res) => res.json() as Promise<{ revision: number; isReady: boolean }>)
@@ -87,7 +87,7 @@
   private async post(route: string, body: object): Promise<unknown> {
     for (;;) {
       for (const [i, url] of this.deployment.listUrls().entries()) {
-        if (this.deployment.daemons[i]!.child.isEnded()) {
+        if (this.deployment.daemons[i]!.child.hasExited()) {
           continue;
         }
         const res = await fetch(`${url}/operator/v1${route}`, {
@@ -119,20 +119,20 @@
   for (let i = 0; i < count; i += 1) {
     const revision = await operator.change(createFiles(intents, 1 + (i % 100)));
     const at = performance.now();
-    await operator.waitEverywhere(revision);
+    await operator.waitInForceOnAll(revision);
     times.push(performance.now() - at);
   }
   return summarize(times);
 }
 
-interface Load {
+interface RoleUsage {
   readonly role: string;
   readonly cpuShare: number;
   readonly memoryMb: number;
   readonly bytesPerS: number;
 }
 
-/** Bytes that the links between daemons carried so far, as each daemon's metrics page tells. */
+/** Reads from a daemon the bytes sent and received so far over its links to other daemons. */
 async function readBytes(url: string): Promise<number> {
   const res = await fetch(`${url}/operator/v1/links`, {
     headers: { authorization: `Bearer ${deployments.OPERATOR_TOKEN}` },
@@ -151,8 +151,8 @@
 
 async function measureLoad(
   deployment: deployments.Deployment,
-  act: () => Promise<void>,
-): Promise<Load[]> {
+  action: () => Promise<void>,
+): Promise<RoleUsage[]> {
   const urls = deployment.listUrls();
   const read = async () =>
     Promise.all(
@@ -164,7 +164,7 @@
     );
   const before = await read();
   const at = performance.now();
-  await act();
+  await action();
   const seconds = (performance.now() - at) / 1_000;
   const after = await read();
   const all = after.map((item, i) => ({
@@ -176,7 +176,7 @@
   const roles = [...new Set(all.map((item) => item.role))].sort();
   return roles.map((role) => {
     const own = all.filter((item) => item.role === role);
-    const mean = (pick: (item: Load) => number) =>
+    const mean = (pick: (item: RoleUsage) => number) =>
       own.reduce((sum, item) => sum + pick(item), 0) / own.length;
     return {
       role,
@@ -223,7 +223,7 @@
     deployment
       .listUrls()
       .map((url, i) =>
-        deployment.daemons[i]!.child.isEnded() ? Promise.resolve('') : readRole(url),
+        deployment.daemons[i]!.child.hasExited() ? Promise.resolve('') : readRole(url),
       ),
   );
   return roles.findIndex((role) => role.startsWith('leader'));
@@ -242,12 +242,12 @@
     const revision = await operator.change(createFiles(100, 200 + i));
     times.push(performance.now() - at);
     deployment.restart(leader);
-    await operator.waitEverywhere(revision);
+    await operator.waitInForceOnAll(revision);
   }
   return summarize(times);
 }
 
-/** A voter and a daemon without a disk are away while changes pile up; the time until both have the last. */
+/** Measures how long a voter and a daemon without a disk take to catch up with changes made while both were down. */
 async function timeBacklog(
   deployment: deployments.Deployment,
   operator: Operator,
@@ -258,35 +258,35 @@
   await Promise.all([voter, daemon].map((i) => deployment.daemons[i]!.child.kill()));
   const from = performance.now();
   let revision = 0;
-  for (let i = 0; i < BACKLOG; i += 1) {
+  for (let i = 0; i < BACKLOG_CHANGES; i += 1) {
     revision = await operator.change(createFiles(100, 1_000 - i));
   }
-  const changesPerS = BACKLOG / ((performance.now() - from) / 1_000);
+  const changesPerS = BACKLOG_CHANGES / ((performance.now() - from) / 1_000);
   const wait = async (i: number) => {
     const at = performance.now();
     deployment.restart(i);
-    const only = new Operator({
+    const hostOperator = new Operator({
       ...deployment,
       listUrls: () => [deployment.getUrl(i)],
       daemons: [deployment.daemons[i]!],
     } as unknown as deployments.Deployment);
-    await only.waitEverywhere(revision);
+    await hostOperator.waitInForceOnAll(revision);
     return performance.now() - at;
   };
   return { voterMs: await wait(voter), daemonMs: await wait(daemon), changesPerS };
 }
 
-interface Sized {
+interface SizeResult {
   readonly daemons: number;
   readonly inForce: Times;
-  readonly idle: Load[];
-  readonly changing: Load[];
+  readonly idle: RoleUsage[];
+  readonly changing: RoleUsage[];
 }
 
-async function measureSize(daemons: number): Promise<Sized> {
+async function measureSize(daemons: number): Promise<SizeResult> {
   return withDeployment(daemons, async (deployment, operator) => {
-    await operator.waitEverywhere(await operator.change(createFiles(100, 1)));
-    // Links that were used at the start only are closed by then; they are not part of an idle daemon.
+    await operator.waitInForceOnAll(await operator.change(createFiles(100, 1)));
+    // By then links that were only used at the start are closed; an idle daemon does not have them.
     await deployments.pause(SETTLE_MS);
     const idle = await measureLoad(deployment, () => deployments.pause(IDLE_MS));
     const changing = await measureLoad(deployment, async () => {
@@ -295,22 +295,22 @@
         await deployments.pause(1_000 / CHANGES_PER_S);
       }
     });
-    const inForce = await timeChanges(operator, 100, CHANGES);
+    const inForce = await timeChanges(operator, 100, CHANGE_COUNT);
     return { daemons, inForce, idle, changing };
   });
 }
 
-interface Counted {
+interface IntentCountResult {
   readonly intents: number;
   readonly inForce: Times;
-  readonly load: Load[];
+  readonly load: RoleUsage[];
 }
 
-async function measureIntents(): Promise<Counted[]> {
+async function measureIntents(): Promise<IntentCountResult[]> {
   return withDeployment(12, async (deployment, operator) => {
-    const rows: Counted[] = [];
+    const rows: IntentCountResult[] = [];
     for (const intents of INTENT_COUNTS) {
-      await operator.waitEverywhere(await operator.change(createFiles(intents, 1)));
+      await operator.waitInForceOnAll(await operator.change(createFiles(intents, 1)));
       const inForce = await timeChanges(operator, intents, 10);
       const load = await measureLoad(deployment, () => deployments.pause(2_000));
       rows.push({ intents, inForce, load });
@@ -319,7 +319,11 @@
   });
 }
 
-function createLoadRows(label: string, sized: readonly Sized[], pick: (s: Sized) => Load[]) {
+function createLoadRows(
+  label: string,
+  sized: readonly SizeResult[],
+  pick: (s: SizeResult) => RoleUsage[],
+) {
   return sized.flatMap((item) =>
     pick(item).map((load) => ({
       state: label,
@@ -332,14 +336,14 @@
   );
 }
 
-/** Real processes on loopback: 5 voters, up to 40 daemons in 4 zones. */
+/** Measures the control plane with real processes on loopback: 5 voters, up to 40 daemons in 4 zones. */
 export async function run(): Promise<void> {
-  const sized: Sized[] = [];
+  const sized: SizeResult[] = [];
   for (const daemons of DAEMON_COUNTS) {
     sized.push(await measureSize(daemons));
   }
   const faults = await withDeployment(40, async (deployment, operator) => {
-    await operator.waitEverywhere(await operator.change(createFiles(100, 1)));
+    await operator.waitInForceOnAll(await operator.change(createFiles(100, 1)));
     const leaderLoss = await timeLeaderLoss(deployment, operator, 5);
     const backlog = await timeBacklog(deployment, operator);
     return { leaderLoss, backlog };
--- a/packages/bench/src/policy/measures.ts
+++ b/packages/bench/src/policy/measures.ts
@@ -1,13 +1,13 @@
 import * as hdr from 'hdr-histogram-js';
 
-/** Beyond which gap between tokens a stream counts as stalled, in milliseconds. */
+/** Gap between tokens beyond which a stream counts as stalled. */
 const STALL_MS = 100;
 
-/** Histograms hold tenths of a millisecond. */
-const SCALE = 10;
+/** Histograms store integers, in units of a tenth of a millisecond. */
+const UNITS_PER_MS = 10;
 
-/** What one replay measured; times in milliseconds. */
-export interface Measured {
+/** Measurements of one replay; times in milliseconds. */
+export interface ReplayMeasurements {
   readonly completed: number;
   readonly preemptionsPer1000: number;
   readonly stallMeanMs: number;
@@ -30,8 +30,8 @@
   readonly broken: number;
 }
 
-/** One request under way in a replay. */
-export interface Flight {
+/** One request in progress in a replay. */
+export interface RequestInFlight {
   readonly team: string;
   readonly isShort: boolean;
   readonly arrivedAt: number;
@@ -49,7 +49,7 @@
   });
 }
 
-/** Collects what happens to requests after the warm-up. */
+/** Records the events of requests that arrive after the warm-up. */
 export class Recorder {
   private readonly gaps = createHistogram();
   private readonly first = createHistogram();
@@ -68,56 +68,58 @@
     private readonly to: number,
   ) {}
 
-  /** One token of a request. */
-  public token(flight: Flight, now: number): void {
-    const gap = now - flight.lastAt;
-    flight.lastAt = now;
-    flight.tokens += 1;
+  /** Records one token of a request. */
+  public recordToken(request: RequestInFlight, now: number): void {
+    const gap = now - request.lastAt;
+    request.lastAt = now;
+    request.tokens += 1;
     if (now >= this.from && now < this.to) {
-      this.served.set(flight.team, (this.served.get(flight.team) ?? 0) + 1);
+      this.served.set(request.team, (this.served.get(request.team) ?? 0) + 1);
     }
-    if (!flight.isMeasured) {
+    if (!request.isMeasured) {
       return;
     }
-    if (flight.tokens === 1) {
-      this.first.recordValue(Math.round(gap * SCALE));
+    if (request.tokens === 1) {
+      this.first.recordValue(Math.round(gap * UNITS_PER_MS));
       return;
     }
-    this.gaps.recordValue(Math.round(gap * SCALE));
-    flight.stallMs += Math.max(0, gap - STALL_MS);
+    this.gaps.recordValue(Math.round(gap * UNITS_PER_MS));
+    request.stallMs += Math.max(0, gap - STALL_MS);
   }
 
-  /** The end of a request. */
-  public end(flight: Flight, now: number): void {
-    if (!flight.isMeasured) {
+  /** Records the completion of a request. */
+  public recordEnd(request: RequestInFlight, now: number): void {
+    if (!request.isMeasured) {
       return;
     }
     this.completed += 1;
-    const whole = flight.isShort ? this.short : this.long;
-    whole.recordValue(Math.round((now - flight.arrivedAt) * SCALE));
-    this.stalls.recordValue(Math.round(flight.stallMs * SCALE));
-    this.stallSum += flight.stallMs;
+    const durations = request.isShort ? this.short : this.long;
+    durations.recordValue(Math.round((now - request.arrivedAt) * UNITS_PER_MS));
+    this.stalls.recordValue(Math.round(request.stallMs * UNITS_PER_MS));
+    this.stallSum += request.stallMs;
   }
 
-  /** A preemption of a request. */
-  public preempt(flight: Flight): void {
-    this.preemptions += flight.isMeasured ? 1 : 0;
+  /** Records a preemption of a request. */
+  public recordPreemption(request: RequestInFlight): void {
+    this.preemptions += request.isMeasured ? 1 : 0;
   }
 
-  /** A refusal. */
-  public refuse(flight: Flight): void {
-    this.refused += flight.isMeasured ? 1 : 0;
+  /** Records a refusal of a request. */
+  public recordRefusal(request: RequestInFlight): void {
+    this.refused += request.isMeasured ? 1 : 0;
   }
 
-  /** A request that was lost with its engine after it had delivered something. */
-  public break(flight: Flight): void {
-    this.broken += flight.isMeasured ? 1 : 0;
+  /** Records a request that was lost with its engine after it had delivered tokens. */
+  public recordBreak(request: RequestInFlight): void {
+    this.broken += request.isMeasured ? 1 : 0;
   }
 
-  /** Everything, with fairness against what each team should have got. */
-  public summarize(getFair: (total: number) => ReadonlyMap<string, number>): Measured {
+  /** Summarizes all measurements; `getFairShares` returns the tokens that each team should have received of a total. */
+  public summarize(
+    getFairShares: (total: number) => ReadonlyMap<string, number>,
+  ): ReplayMeasurements {
     const at = (histogram: hdr.Histogram, percentile: number) =>
-      histogram.getValueAtPercentile(percentile) / SCALE;
+      histogram.getValueAtPercentile(percentile) / UNITS_PER_MS;
     const total = [...this.served.values()].reduce((sum, tokens) => sum + tokens, 0);
     return {
       completed: this.completed,
@@ -134,18 +136,18 @@
       shortP50Ms: at(this.short, 50),
       shortP99Ms: at(this.short, 99),
       longP50Ms: at(this.long, 50),
-      longMeanMs: this.long.mean / SCALE,
+      longMeanMs: this.long.mean / UNITS_PER_MS,
       longP99Ms: at(this.long, 99),
       refused: this.refused,
       goodputPerS: (1_000 * total) / (this.to - this.from),
-      fairness: getJain(this.served, getFair(total)),
+      fairness: getJainIndex(this.served, getFairShares(total)),
       broken: this.broken,
     };
   }
 }
 
-/** Jain's index of what teams got relative to what they should have got. */
-export function getJain(
+/** Returns Jain's fairness index of the tokens that teams received, relative to their fair shares. */
+export function getJainIndex(
   served: ReadonlyMap<string, number>,
   fair: ReadonlyMap<string, number>,
 ): number {
@@ -155,25 +157,25 @@
   return (sum * sum) / (ratios.length * Math.max(squares, 1e-9));
 }
 
-/** Shares a total among teams by weight, nobody more than asked for. */
+/** Divides a total among teams by weighted max-min fairness: no team receives more than its demand. */
 export function shareMaxMin(
   total: number,
   demands: readonly { readonly name: string; readonly weight: number; readonly demand: number }[],
 ): Map<string, number> {
   const shares = new Map<string, number>();
-  let open = [...demands];
-  let left = total;
-  while (open.length > 0) {
-    const weights = open.reduce((sum, team) => sum + team.weight, 0);
-    const perWeight = left / weights;
-    const sated = open.filter((team) => team.demand <= team.weight * perWeight);
-    if (sated.length === 0) {
-      open.forEach((team) => shares.set(team.name, team.weight * perWeight));
+  let unsatisfied = [...demands];
+  let remaining = total;
+  while (unsatisfied.length > 0) {
+    const weights = unsatisfied.reduce((sum, team) => sum + team.weight, 0);
+    const perWeight = remaining / weights;
+    const satisfied = unsatisfied.filter((team) => team.demand <= team.weight * perWeight);
+    if (satisfied.length === 0) {
+      unsatisfied.forEach((team) => shares.set(team.name, team.weight * perWeight));
       break;
     }
-    sated.forEach((team) => shares.set(team.name, team.demand));
-    left -= sated.reduce((sum, team) => sum + team.demand, 0);
-    open = open.filter((team) => !sated.includes(team));
+    satisfied.forEach((team) => shares.set(team.name, team.demand));
+    remaining -= satisfied.reduce((sum, team) => sum + team.demand, 0);
+    unsatisfied = unsatisfied.filter((team) => !satisfied.includes(team));
   }
   return shares;
 }
--- a/packages/bench/src/policy/policy-bench.ts
+++ b/packages/bench/src/policy/policy-bench.ts
@@ -13,13 +13,13 @@
 const DURATION_S = 400;
 const WARMUP_S = 100;
 
-/** Far beyond what four engines can do, to find out what they can. */
-const FLOOD_FACTOR = 2;
+/** Load of the capacity measurement relative to the base rate, far more than four engines can serve. */
+const OVERLOAD_FACTOR = 2;
 
-/** The rate from which the flood starts, in requests a second, by user. */
-const FLOOD_RATES: Readonly<Record<string, number>> = { kalahari: 18, 'exit-survey': 8 };
+/** Base rate of the capacity measurement in requests per second, by user. */
+const OVERLOAD_BASE_RATES: Readonly<Record<string, number>> = { kalahari: 18, 'exit-survey': 8 };
 
-/** The dials that ship as defaults, chosen from the curve below. */
+/** Default overflow risks by user, chosen from the curve over `RISKS`. */
 export const DEFAULT_RISKS: Readonly<Record<string, number>> = {
   kalahari: 0.1,
   'exit-survey': 0.05,
@@ -34,40 +34,40 @@
   'mix-shifts',
 ];
 
-/** The mean of some replays of one cell. */
-export type Cell = Record<keyof measures.Measured, number>;
+/** Means over the replays of one combination of user, load, fault and policy. */
+export type MeanMeasurements = Record<keyof measures.ReplayMeasurements, number>;
 
 interface Row {
   readonly user: string;
   readonly load: number;
   readonly fault: string;
   readonly policy: string;
-  readonly mean: Cell;
+  readonly mean: MeanMeasurements;
 }
 
 const program = new URL('./policy-worker.js', import.meta.url);
 
 function listPolicies(user: string): replays.ReplayPolicy[] {
-  const plain = ['round-robin', 'least-outstanding', 'least-memory', 'two-choices'];
+  const baselines = ['round-robin', 'least-outstanding', 'least-memory', 'two-choices'];
   return [
-    ...plain.map((name) => ({ name, baseline: name, tellsClass: false })),
+    ...baselines.map((name) => ({ name, baseline: name, sendsClass: false })),
     ...['least-memory', 'two-choices'].map((baseline) => ({
       name: `${baseline}+class`,
       baseline,
-      tellsClass: true,
+      sendsClass: true,
     })),
-    { name: 'pool-owner', overflowRisk: DEFAULT_RISKS[user] ?? 0.05, tellsClass: true },
-    { name: 'oracle', overflowRisk: 0.5, isOracle: true, tellsClass: true },
+    { name: 'pool-owner', overflowRisk: DEFAULT_RISKS[user] ?? 0.05, sendsClass: true },
+    { name: 'oracle', overflowRisk: 0.5, isOracle: true, sendsClass: true },
   ];
 }
 
-function average(list: readonly measures.Measured[]): Cell {
-  const keys = Object.keys(list[0] ?? {}) as (keyof measures.Measured)[];
+function average(list: readonly measures.ReplayMeasurements[]): MeanMeasurements {
+  const keys = Object.keys(list[0] ?? {}) as (keyof measures.ReplayMeasurements)[];
   const entries = keys.map((key) => {
     const sum = list.reduce((total, item) => total + item[key], 0);
     return [key, Number((sum / list.length).toPrecision(5))];
   });
-  return Object.fromEntries(entries) as Cell;
+  return Object.fromEntries(entries) as MeanMeasurements;
 }
 
 interface Plan {
@@ -91,7 +91,10 @@
       warmupS: WARMUP_S,
     })),
   );
-  const results = await pools.runJobs<workers.PolicyJob, measures.Measured>(program, jobs);
+  const results = await pools.runJobs<workers.PolicyJob, measures.ReplayMeasurements>(
+    program,
+    jobs,
+  );
   return plans.map((plan, i) => ({
     user: plan.user,
     load: plan.load,
@@ -101,13 +104,13 @@
   }));
 }
 
-/** Capacity: the requests a second of the mix that the oracle gets through when flooded. */
+/** Measures the capacity of each mix: the requests per second that the oracle policy serves under overload. */
 async function findCapacities(): Promise<Map<string, number>> {
-  const oracle = { name: 'oracle', overflowRisk: 0.5, isOracle: true, tellsClass: true };
+  const oracle = { name: 'oracle', overflowRisk: 0.5, isOracle: true, sendsClass: true };
   const jobs = traces.MIXES.flatMap(({ user }) =>
     SEEDS.map((seed) => ({
       user,
-      rate: FLOOD_FACTOR * (FLOOD_RATES[user] ?? 10),
+      rate: OVERLOAD_FACTOR * (OVERLOAD_BASE_RATES[user] ?? 10),
       seed,
       engines: ENGINES,
       durationS: DURATION_S,
@@ -116,7 +119,10 @@
       policy: oracle,
     })),
   );
-  const results = await pools.runJobs<workers.PolicyJob, measures.Measured>(program, jobs);
+  const results = await pools.runJobs<workers.PolicyJob, measures.ReplayMeasurements>(
+    program,
+    jobs,
+  );
   return new Map(
     traces.MIXES.map((mix, i) => {
       const own = results.slice(i * SEEDS.length, (i + 1) * SEEDS.length);
@@ -193,7 +199,7 @@
   });
 }
 
-/** Replays both users' mixes under every policy, load, dial and fault. */
+/** Replays both users' mixes under every policy, load, overflow risk and fault. */
 export async function run(): Promise<void> {
   const capacities = await findCapacities();
   const users = traces.MIXES.map((mix) => mix.user);
@@ -212,7 +218,7 @@
           user,
           load,
           fault: 'none' as const,
-          policy: { name: `risk ${overflowRisk}`, overflowRisk, tellsClass: true },
+          policy: { name: `risk ${overflowRisk}`, overflowRisk, sendsClass: true },
         })),
       ),
     ),
--- a/packages/bench/src/policy/replay.ts
+++ b/packages/bench/src/policy/replay.ts
@@ -8,30 +8,32 @@
 import * as simEngines from './sim-engine.js';
 import * as traces from './trace.js';
 
-/** The time of one message between daemons, or to an engine, in milliseconds. */
-const MESSAGE_MS = 1;
+/** Latency of one message between daemons or to an engine. */
+const MESSAGE_DELAY_MS = 1;
 
-/** How often daemons tell the owner of progress, and the owner looks at its queue, in milliseconds. */
-const PROGRESS_MS = 2_000;
-const TICK_MS = 100;
+/** Interval at which daemons report progress to the owner. */
+const PROGRESS_INTERVAL_MS = 2_000;
 
-/** How long a daemon waits before it asks again, in milliseconds. */
-const ASK_AGAIN_MS = 500;
+/** Interval at which the owner processes its queue. */
+const TICK_INTERVAL_MS = 100;
 
-/** How long a moved pool is without an owner, in milliseconds. */
-const OWNER_GAP_MS = 3_000;
+/** Delay before a daemon repeats a grant request; also the unit of the random interval between cache losses. */
+const RETRY_DELAY_MS = 500;
 
-const DAEMONS = 6;
+/** Time that a pool is without an owner after the owner fails. */
+const OWNER_FAILOVER_MS = 3_000;
 
-/** A fault in a replay. */
+const DAEMON_COUNT = 6;
+
+/** A fault that a replay injects. */
 export type ReplayFault =
   'none' | 'engine-dies' | 'owner-dies' | 'late-reports' | 'cache-gaps' | 'mix-shifts';
 
-/** What a replay is. */
+/** Options of a replay. */
 export interface ReplayOptions {
   readonly mix: traces.Mix;
   readonly trace: readonly traces.TraceLine[];
-  /** Arrivals a second. */
+  /** Arrivals per second. */
   readonly rate: number;
   readonly engines: number;
   readonly durationS: number;
@@ -40,13 +42,13 @@
   readonly fault: ReplayFault;
 }
 
-/** How requests find engines in a replay. */
+/** Policy by which a replay assigns requests to engines. */
 export interface ReplayPolicy {
   readonly name: string;
-  /** The name of a baseline; none for the pool owner. */
+  /** Name of a baseline; undefined for the pool owner. */
   readonly baseline?: string;
-  /** Whether engines are told the class of a request, and so serve interactive work first. */
-  readonly tellsClass: boolean;
+  /** Whether requests to engines include their class, so that interactive work is served first. */
+  readonly sendsClass: boolean;
   readonly overflowRisk?: number;
   readonly isOracle?: boolean;
 }
@@ -55,22 +57,22 @@
   readonly id: string;
   readonly line: traces.TraceLine;
   readonly daemon: number;
-  readonly flight: measures.Flight;
+  readonly request: measures.RequestInFlight;
   engine: simEngines.SimEngine | undefined;
 }
 
-/** Replays a trace on virtual time against the stand-in of the engines, with the real decision classes. */
+/** Replays a trace on virtual time against simulated engines, with the production classes for decisions. */
 export class Replay {
   private readonly clock = new simClocks.SimClock();
   private readonly recorder: measures.Recorder;
   private readonly random: traces.Random;
   private readonly engines: simEngines.SimEngine[];
-  private readonly seen: baselines.Seen[][];
+  private readonly views: baselines.EngineView[][];
   private readonly jobs = new Map<string, Job>();
   private readonly endMs: number;
   private readonly demands = new Map<string, number>();
   private owner: routing.PoolOwner | undefined;
-  private isOwnerAway = false;
+  private isOwnerDown = false;
   private readonly baseline: baselines.Baseline | undefined;
 
   public constructor(
@@ -84,10 +86,10 @@
       { length: options.engines },
       (_, i) =>
         new simEngines.SimEngine(`e${i}`, this.clock, (engine, report) => {
-          this.takeReport(engine, report);
+          this.handleReport(engine, report);
         }),
     );
-    this.seen = Array.from({ length: DAEMONS }, () =>
+    this.views = Array.from({ length: DAEMON_COUNT }, () =>
       this.engines.map(({ upstreamId }) => ({
         upstreamId,
         outstanding: 0,
@@ -101,8 +103,8 @@
     }
   }
 
-  /** Runs to the end and gives what was measured. */
-  public run(): measures.Measured {
+  /** Runs the replay and returns its measurements. */
+  public run(): measures.ReplayMeasurements {
     const { options } = this;
     options.trace.forEach((line, i) => {
       const at = (line.arrival / options.rate) * 1_000;
@@ -111,13 +113,13 @@
       }
     });
     this.injectFault();
-    this.keepProgress();
-    this.keepTicking();
-    // What arrived is followed to its end, so that slow policies can't hide what they held back.
+    this.scheduleProgress();
+    this.scheduleTicks();
+    // Requests that have arrived run to completion, so that a slow policy cannot hide the ones that it delayed.
     const limit = 4 * this.endMs;
     this.clock.run(() => {
-      const isDone = this.clock.now() > this.endMs && this.jobs.size === 0;
-      return isDone || this.clock.now() > limit;
+      const isFinished = this.clock.now() > this.endMs && this.jobs.size === 0;
+      return isFinished || this.clock.now() > limit;
     });
     return this.recorder.summarize((total) =>
       measures.shareMaxMin(
@@ -134,8 +136,8 @@
   private arrive(line: traces.TraceLine, i: number): void {
     const now = this.clock.now();
     const isMeasured = now >= this.options.warmupS * 1_000;
-    const shifted = this.shift(line, now);
-    const flight: measures.Flight = {
+    const effectiveLine = this.applyMixShift(line, now);
+    const request: measures.RequestInFlight = {
       team: line.team,
       isShort: line.class === 'interactive',
       arrivedAt: now,
@@ -145,20 +147,26 @@
       stallMs: 0,
     };
     if (isMeasured) {
-      this.demands.set(line.team, (this.demands.get(line.team) ?? 0) + shifted.outputTokens);
+      this.demands.set(line.team, (this.demands.get(line.team) ?? 0) + effectiveLine.outputTokens);
     }
-    const job: Job = { id: `g${i}`, line: shifted, daemon: i % DAEMONS, flight, engine: undefined };
+    const job: Job = {
+      id: `g${i}`,
+      line: effectiveLine,
+      daemon: i % DAEMON_COUNT,
+      request,
+      engine: undefined,
+    };
     this.jobs.set(job.id, job);
     if (this.baseline !== undefined) {
       this.dispatchByBaseline(job, this.baseline);
     } else {
-      this.clock.after(MESSAGE_MS, () => this.askOwner(job, 0));
+      this.clock.after(MESSAGE_DELAY_MS, () => this.requestGrant(job, 0));
     }
   }
 
-  private askOwner(job: Job, waitedMs: number): void {
-    if (this.isOwnerAway || this.owner === undefined) {
-      this.clock.after(ASK_AGAIN_MS, () => this.askOwner(job, waitedMs + ASK_AGAIN_MS));
+  private requestGrant(job: Job, waitedMs: number): void {
+    if (this.isOwnerDown || this.owner === undefined) {
+      this.clock.after(RETRY_DELAY_MS, () => this.requestGrant(job, waitedMs + RETRY_DELAY_MS));
       return;
     }
     const { line } = job;
@@ -179,21 +187,23 @@
       (decision) => {
         const engine = this.engines.find((item) => item.upstreamId === decision.upstreamId);
         if (engine === undefined) {
-          this.clock.after(ASK_AGAIN_MS, () => this.askOwner(job, waitedMs));
+          this.clock.after(RETRY_DELAY_MS, () => this.requestGrant(job, waitedMs));
           return;
         }
-        this.clock.after(2 * MESSAGE_MS, () => this.start(job, engine));
+        this.clock.after(2 * MESSAGE_DELAY_MS, () => this.start(job, engine));
       },
     );
   }
 
   private dispatchByBaseline(job: Job, baseline: baselines.Baseline): void {
-    const alive = this.seen[job.daemon]!.filter((item) => !this.findEngine(item.upstreamId).isDead);
-    const chosen = baseline.choose(alive, this.random);
+    const available = this.views[job.daemon]!.filter(
+      (item) => !this.findEngine(item.upstreamId).isDead,
+    );
+    const chosen = baseline.choose(available, this.random);
     chosen.outstanding += 1;
     chosen.sentSince += job.line.promptTokens;
     const engine = this.findEngine(chosen.upstreamId);
-    this.clock.after(MESSAGE_MS, () => this.start(job, engine));
+    this.clock.after(MESSAGE_DELAY_MS, () => this.start(job, engine));
   }
 
   private start(job: Job, engine: simEngines.SimEngine): void {
@@ -202,58 +212,58 @@
       return;
     }
     job.engine = engine;
-    const { line, flight } = job;
+    const { line, request } = job;
     engine.submit({
       id: job.id,
       promptTokens: line.promptTokens,
       outputTokens: line.outputTokens,
-      priority: !this.policy.tellsClass || line.class === 'interactive' ? 0 : 1,
+      priority: !this.policy.sendsClass || line.class === 'interactive' ? 0 : 1,
       prefix: line.prefix,
       prefixTokens: line.prefixTokens,
-      onToken: () => this.recorder.token(flight, this.clock.now()),
+      onToken: () => this.recorder.recordToken(request, this.clock.now()),
       onEnd: () => this.end(job, true),
-      onPreempt: () => this.recorder.preempt(flight),
+      onPreempt: () => this.recorder.recordPreemption(request),
     });
   }
 
-  private end(job: Job, isNatural: boolean): void {
+  private end(job: Job, isCompleted: boolean): void {
     this.jobs.delete(job.id);
-    if (isNatural) {
-      this.recorder.end(job.flight, this.clock.now());
+    if (isCompleted) {
+      this.recorder.recordEnd(job.request, this.clock.now());
     }
     const upstreamId = job.engine?.upstreamId;
-    const seen = this.seen[job.daemon]!.find((item) => item.upstreamId === upstreamId);
-    if (seen !== undefined) {
-      seen.outstanding -= 1;
+    const view = this.views[job.daemon]!.find((item) => item.upstreamId === upstreamId);
+    if (view !== undefined) {
+      view.outstanding -= 1;
     }
-    this.clock.after(MESSAGE_MS, () => {
-      this.owner?.finish(job.id, job.flight.tokens, isNatural);
+    this.clock.after(MESSAGE_DELAY_MS, () => {
+      this.owner?.finish(job.id, job.request.tokens, isCompleted);
     });
   }
 
-  /** A request whose engine is gone: told so when it had delivered something, else tried again. */
+  /** Handles a request whose engine has failed: breaks it when it had delivered tokens, else sends it again. */
   private retry(job: Job): void {
     this.end(job, false);
-    if (job.flight.tokens > 0) {
-      this.recorder.break(job.flight);
+    if (job.request.tokens > 0) {
+      this.recorder.recordBreak(job.request);
       return;
     }
     job.engine = undefined;
     this.jobs.set(job.id, job);
     if (this.baseline === undefined) {
-      this.clock.after(MESSAGE_MS, () => this.askOwner(job, 0));
+      this.clock.after(MESSAGE_DELAY_MS, () => this.requestGrant(job, 0));
     } else {
       this.dispatchByBaseline(job, this.baseline);
     }
   }
 
-  private takeReport(engine: simEngines.SimEngine, report: schemas.LoadReport): void {
-    this.seen.forEach((list) => {
-      const seen = list.find((item) => item.upstreamId === engine.upstreamId)!;
-      seen.report = report;
-      seen.sentSince = 0;
+  private handleReport(engine: simEngines.SimEngine, report: schemas.LoadReport): void {
+    this.views.forEach((list) => {
+      const view = list.find((item) => item.upstreamId === engine.upstreamId)!;
+      view.report = report;
+      view.sentSince = 0;
     });
-    if (!this.isOwnerAway) {
+    if (!this.isOwnerDown) {
       this.owner?.applyReport(engine.upstreamId, report);
     }
   }
@@ -273,28 +283,30 @@
   }
 
   private setUpstreams(): void {
-    const alive = this.engines.filter((engine) => !engine.isDead);
-    this.owner?.setUpstreams(alive.map(({ upstreamId }) => ({ upstreamId, isLeaving: false })));
+    const available = this.engines.filter((engine) => !engine.isDead);
+    this.owner?.setUpstreams(available.map(({ upstreamId }) => ({ upstreamId, isLeaving: false })));
   }
 
-  private keepProgress(): void {
-    if (this.owner !== undefined && !this.isOwnerAway) {
+  private scheduleProgress(): void {
+    if (this.owner !== undefined && !this.isOwnerDown) {
       const { owner } = this;
-      for (let i = 0; i < DAEMONS; i += 1) {
+      for (let i = 0; i < DAEMON_COUNT; i += 1) {
         const tokens = [...this.jobs.values()]
           .filter((job) => job.daemon === i && job.engine !== undefined)
-          .map((job): [string, number] => [job.id, job.flight.tokens]);
-        this.clock.after(MESSAGE_MS, () => owner.applyProgress({ daemonId: `d${i}`, tokens }));
+          .map((job): [string, number] => [job.id, job.request.tokens]);
+        this.clock.after(MESSAGE_DELAY_MS, () =>
+          owner.applyProgress({ daemonId: `d${i}`, tokens }),
+        );
       }
     }
-    this.clock.after(PROGRESS_MS, () => this.keepProgress());
+    this.clock.after(PROGRESS_INTERVAL_MS, () => this.scheduleProgress());
   }
 
-  private keepTicking(): void {
-    if (!this.isOwnerAway) {
+  private scheduleTicks(): void {
+    if (!this.isOwnerDown) {
       this.owner?.tick();
     }
-    this.clock.after(TICK_MS, () => this.keepTicking());
+    this.clock.after(TICK_INTERVAL_MS, () => this.scheduleTicks());
   }
 
   private injectFault(): void {
@@ -309,14 +321,14 @@
       this.engines.filter((_, i) => i % 3 === 0).forEach((engine) => (engine.extraLagMs = 5_000));
     }
     if (this.options.fault === 'cache-gaps') {
-      this.keepForgetting();
+      this.scheduleCacheLosses();
     }
   }
 
   private killEngine(): void {
     const engine = this.engines[0]!;
     const lost = engine.die();
-    this.clock.after(MESSAGE_MS, () => {
+    this.clock.after(MESSAGE_DELAY_MS, () => {
       this.setUpstreams();
       lost.forEach((id) => {
         const job = this.jobs.get(id);
@@ -327,20 +339,23 @@
     });
   }
 
-  /** The owner dies with its account; daemons register with the next one what runs and what waits. */
+  /**
+   * Fails the owner with its ledger. Daemons then register running requests with its successor and request grants again
+   * for waiting ones.
+   */
   private killOwner(): void {
     if (this.owner === undefined) {
       return;
     }
-    this.isOwnerAway = true;
+    this.isOwnerDown = true;
     const waiting = [...this.jobs.values()].filter((job) => job.engine === undefined);
-    this.clock.after(OWNER_GAP_MS, () => {
+    this.clock.after(OWNER_FAILOVER_MS, () => {
       this.createOwner();
-      this.isOwnerAway = false;
+      this.isOwnerDown = false;
       this.jobs.forEach((job) => this.register(job));
       waiting
         .filter((job) => job.engine === undefined)
-        .forEach((job) => this.askOwner(job, OWNER_GAP_MS));
+        .forEach((job) => this.requestGrant(job, OWNER_FAILOVER_MS));
     });
   }
 
@@ -358,16 +373,16 @@
       workClass: line.class,
       promptTokens: line.promptTokens,
       maxTokens: 32_768,
-      tokens: job.flight.tokens,
+      tokens: job.request.tokens,
     });
   }
 
-  private keepForgetting(): void {
+  private scheduleCacheLosses(): void {
     this.engines.forEach((engine) => this.owner?.affinity.forget(engine.upstreamId));
-    this.clock.after(ASK_AGAIN_MS * this.random.between(1, 20), () => this.keepForgetting());
+    this.clock.after(RETRY_DELAY_MS * this.random.between(1, 20), () => this.scheduleCacheLosses());
   }
 
-  private shift(line: traces.TraceLine, now: number): traces.TraceLine {
+  private applyMixShift(line: traces.TraceLine, now: number): traces.TraceLine {
     const isShifted =
       this.options.fault === 'mix-shifts' &&
       line.class === 'batch' &&
