--- a/packages/peers/src/frame.ts
+++ b/packages/peers/src/frame.ts
@@ -2,13 +2,13 @@
 
 import * as schemas from '@bramleyridge/schemas';
 
-/** The bytes of a frame's length prefix. */
+/** Size of a frame's length prefix. */
 const LENGTH_BYTES = 4;
 
-/** The largest frame that a peer accepts, in bytes; a snapshot of the configuration fits. */
+/** Largest frame that a peer accepts, in bytes; large enough for a snapshot of the configuration. */
 export const MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
-/** What travels on the link, told apart by its first element. */
+/** A message on the connection; its first element is the discriminant. */
 export type Frame =
   | readonly [kind: 'call', id: number, path: string, input: unknown]
   | readonly [kind: 'cancel', id: number]
@@ -18,18 +18,18 @@
   | readonly [kind: 'pong'];
 
 /**
- * The names of an object's fields travel once for each connection and direction; later objects of the same
- * shape refer to them. Names were the larger part of heartbeats and grants.
+ * Creates a codec that sends the field names of each object shape once per connection and direction. Later objects
+ * of the same shape refer to them; otherwise field names make up most of the bytes of heartbeats and grants.
  */
 function createPackr(): msgpackr.Packr {
   return new msgpackr.Packr({ useRecords: true, sequential: true });
 }
 
-/** Encodes the frames of one direction of one connection, in order. */
+/** Encodes the frames sent on one connection. Frames must be sent in the order in which they are encoded. */
 export class FrameWriter {
   private readonly packr = createPackr();
 
-  /** Encodes one frame with its length before it. */
+  /** Encodes one frame, preceded by its length. */
   public encode(frame: Frame): Buffer {
     const body = this.packr.pack(frame);
     const head = Buffer.allocUnsafe(LENGTH_BYTES);
@@ -38,12 +38,12 @@
   }
 }
 
-/** Collects the bytes of a connection and gives back whole frames. */
+/** Buffers the bytes received on a connection and decodes complete frames. */
 export class FrameReader {
   private readonly packr = createPackr();
   private pending: Buffer = Buffer.alloc(0);
 
-  /** Adds bytes and yields every frame that is now whole. */
+  /** Appends bytes and yields every frame that is now complete. */
   public *push(bytes: Buffer): Generator<Frame> {
     this.pending = this.pending.length === 0 ? bytes : Buffer.concat([this.pending, bytes]);
     while (this.pending.length >= LENGTH_BYTES) {
--- a/packages/peers/src/index.ts
+++ b/packages/peers/src/index.ts
@@ -1,4 +1,4 @@
-/** The link between daemons: tRPC over framed msgpack on TLS with pre-shared keys. */
+/** Peer-to-peer transport between daemons: tRPC over framed msgpack on TLS with pre-shared keys. */
 export * from './frame.js';
 export * from './keyring.js';
 export * from './link-counts.js';
--- a/packages/peers/src/keyring.ts
+++ b/packages/peers/src/keyring.ts
@@ -2,7 +2,7 @@
 
 import * as schemas from '@bramleyridge/schemas';
 
-/** The pre-shared keys of the link between daemons; several may be valid while one is rotated out. */
+/** Pre-shared keys of the connections between daemons; several are valid during a key rotation. */
 export class Keyring {
   private file: schemas.KeyFile;
 
@@ -10,24 +10,24 @@
     this.file = readKeyFile(path);
   }
 
-  /** Reads the file again; new connections use what it says, old ones go on. */
+  /** Rereads the key file. New connections use its keys; established connections stay open. */
   public reload(): void {
     this.file = readKeyFile(this.path);
   }
 
-  /** The identity and key for a new connection. */
+  /** Returns the identity and key for a new connection. */
   public getActive(): { identity: string; psk: Buffer } {
     const identity = this.file.active;
     return { identity, psk: Buffer.from(this.file.keys[identity] ?? '', 'base64') };
   }
 
-  /** The key of an identity, or nothing when it was rotated out. */
+  /** Returns the key of an identity, or `undefined` if it was rotated out. */
   public findKey(identity: string): Buffer | undefined {
     const key = this.file.keys[identity];
     return key === undefined ? undefined : Buffer.from(key, 'base64');
   }
 
-  /** Every valid key, the active one first. */
+  /** Returns every valid key, the active one first. */
   public listKeys(): Buffer[] {
     const { active } = this.file;
     const names = [active, ...Object.keys(this.file.keys).filter((id) => id !== active)];
--- a/packages/peers/src/link-counts.ts
+++ b/packages/peers/src/link-counts.ts
@@ -1,28 +1,28 @@
-/** Bytes that TLS adds to each record. */
+/** Overhead of a TLS record. */
 const TLS_RECORD_BYTES = 29;
 
-/** Bytes that TCP and IP add to each packet. */
+/** Overhead of the TCP and IP headers of a packet. */
 const TCP_IP_BYTES = 52;
 
-/** What went over links, as it is on the wire: frames with what carries them. */
+/** Traffic counters. Bytes are estimates of the size on the wire: frames plus the overhead of TLS, TCP and IP. */
 export class LinkCounts {
   public bytesOut = 0;
   public bytesIn = 0;
   public messages = 0;
 
-  /** Notes a message that was sent. */
-  public noteOut(bytes: number): void {
+  /** Counts a sent message. */
+  public recordSent(bytes: number): void {
     this.messages += 1;
     this.bytesOut += bytes + TLS_RECORD_BYTES + TCP_IP_BYTES;
   }
 
-  /** Notes a message that arrived. */
-  public noteIn(bytes: number): void {
+  /** Counts the bytes of one read from a socket as a message. */
+  public recordReceived(bytes: number): void {
     this.messages += 1;
     this.bytesIn += bytes + TLS_RECORD_BYTES + TCP_IP_BYTES;
   }
 
-  /** Adds other counts to these. */
+  /** Adds the totals of other counters to these. */
   public add(other: LinkCounts): void {
     this.bytesIn += other.bytesIn;
     this.bytesOut += other.bytesOut;
--- a/packages/peers/src/packed-value.ts
+++ b/packages/peers/src/packed-value.ts
@@ -3,15 +3,15 @@
 const packr = new msgpackr.Packr({ useRecords: true });
 
 /**
- * Packs a value once for many connections. Each connection has names and records of its own, so a value that goes to
- * hundreds of peers at the same moment was packed hundreds of times: 28 ms for 194 peers and a list of 47 entries, in
- * which the host answered nobody; as bytes 3 ms.
+ * Serializes a value once for many connections. Each connection has its own table of object shapes, so a value sent to
+ * many peers is otherwise serialized once per peer: 28 ms for 194 peers and a list of 47 entries, during which the event
+ * loop is blocked, against 3 ms when it is sent as bytes.
  */
 export function packValue(value: unknown): Uint8Array {
   return packr.pack(value);
 }
 
-/** Gives back what was packed. */
+/** Deserializes a value that {@link packValue} serialized. */
 export function unpackValue(bytes: Uint8Array): unknown {
   return packr.unpack(bytes);
 }
--- a/packages/peers/src/peer-client.ts
+++ b/packages/peers/src/peer-client.ts
@@ -8,54 +8,54 @@
 import * as linkCounts from './link-counts.js';
 import * as tlsOptions from './tls-options.js';
 
-/** How often an idle link is tried, in milliseconds. */
-const PING_MS = 4_000;
+/** Interval between pings on a connection, in milliseconds. */
+const PING_INTERVAL_MS = 4_000;
 
-/** After how long without a call a link is ended, in milliseconds. */
-const IDLE_MS = 10_000;
+/** Time without a call after which a connection is closed, in milliseconds. */
+const IDLE_TIMEOUT_MS = 10_000;
 
-/** After how long without a byte a link is given up, in milliseconds. */
-const SILENCE_MS = 9_000;
+/** Time without a byte in either direction after which a connection is closed, in milliseconds. */
+const SILENCE_TIMEOUT_MS = 9_000;
 
-/** Where a peer is and how to reach it. */
+/** Options of {@link PeerClient}. */
 export interface PeerClientOptions {
   readonly peer: string;
   readonly host: string;
   readonly port: number;
-  /** The keys of the link; nothing where the network is trusted and the link is plain TCP. */
+  /** Keys of the TLS connection; `undefined` on a trusted network, where the connection is plain TCP. */
   readonly keyring: keyrings.Keyring | undefined;
   readonly connectMs: number;
-  /** Whether the link is cut; failure tests cut links here. */
+  /** Whether traffic from and to the peer is dropped; failure tests simulate a network partition with it. */
   readonly isCut?: () => boolean;
 }
 
-interface Waiting {
-  readonly askedAt: number;
+interface PendingCall {
+  readonly startedAt: number;
   readonly path: string;
   readonly resolve: (output: unknown) => void;
   readonly reject: (err: Error) => void;
 }
 
-/** Calls one peer over one connection, made when needed and remade when it falls silent. */
+/** Calls one peer over one connection, which is opened on demand and replaced when nothing arrives on it. */
 export class PeerClient {
   public readonly counts = new linkCounts.LinkCounts();
   private socket: net.Socket | undefined;
   private writer = new frames.FrameWriter();
-  private usedAt = 0;
-  private heardAt = 0;
+  private lastCallAt = 0;
+  private lastReceivedAt = 0;
   private connecting: Promise<net.Socket> | undefined;
-  private waiting = new Map<number, Waiting>();
+  private pendingCalls = new Map<number, PendingCall>();
   private nextId = 1;
-  private closed = false;
+  private isClosed = false;
 
   public constructor(private readonly options: PeerClientOptions) {}
 
-  /** Calls a procedure; rejects after the deadline, and tells the peer to stop working on it. */
+  /** Calls a procedure. After the deadline, rejects and sends a `cancel` frame, upon which the peer aborts the call. */
   public async call(path: string, input: unknown, deadlineMs: number): Promise<unknown> {
-    const askedAt = performance.now();
+    const startedAt = performance.now();
     const timeout = new Promise<never>((_, reject) => {
       const timer = setTimeout(() => {
-        this.suspect(askedAt);
+        this.closeIfSilentSince(startedAt);
         reject(this.createError('deadline', path, [deadlineMs]));
       }, deadlineMs);
       timer.unref();
@@ -65,19 +65,19 @@
     }
     const id = this.nextId;
     this.nextId += 1;
-    this.usedAt = performance.now();
+    this.lastCallAt = performance.now();
     try {
-      return await Promise.race([this.exchange(id, path, input, askedAt), timeout]);
+      return await Promise.race([this.exchange(id, path, input, startedAt), timeout]);
     } finally {
-      if (this.waiting.delete(id)) {
+      if (this.pendingCalls.delete(id)) {
         this.send(['cancel', id]);
       }
     }
   }
 
-  /** Ends the connection for good. */
+  /** Closes the connection; later calls are rejected. */
   public close(): void {
-    this.closed = true;
+    this.isClosed = true;
     this.socket?.destroy();
   }
 
@@ -85,11 +85,11 @@
     id: number,
     path: string,
     input: unknown,
-    askedAt: number,
+    startedAt: number,
   ): Promise<unknown> {
     await this.getSocket();
     return new Promise((resolve, reject) => {
-      this.waiting.set(id, { askedAt, path, resolve, reject });
+      this.pendingCalls.set(id, { startedAt, path, resolve, reject });
       this.send(['call', id, path, input]);
     });
   }
@@ -99,12 +99,12 @@
       return;
     }
     const bytes = this.writer.encode(frame);
-    this.counts.noteOut(bytes.length);
+    this.counts.recordSent(bytes.length);
     this.socket.write(bytes);
   }
 
   private async getSocket(): Promise<net.Socket> {
-    if (this.closed) {
+    if (this.isClosed) {
       throw this.createError('linkClosed', 'connect');
     }
     if (this.socket !== undefined && !this.socket.destroyed) {
@@ -126,7 +126,7 @@
       socket.once(this.options.keyring === undefined ? 'connect' : 'secureConnect', () => {
         this.socket = socket;
         this.writer = new frames.FrameWriter();
-        this.watch(socket);
+        this.attachHandlers(socket);
         resolve(socket);
       });
       socket.once('error', (err) => reject(this.createError('linkClosed', 'connect', [], err)));
@@ -147,19 +147,19 @@
     });
   }
 
-  private watch(socket: net.Socket): void {
+  private attachHandlers(socket: net.Socket): void {
     const reader = new frames.FrameReader();
-    // A middlebox that forgot the connection drops bytes without a reset; only silence shows it.
-    // Pings make silence suspicious, and a new connection is made for the next call.
-    socket.setTimeout(SILENCE_MS, () => socket.destroy());
-    const pinger = setInterval(() => this.keep(socket), PING_MS);
-    pinger.unref();
+    // A middlebox that lost its state for the connection drops packets without a reset, which shows only in the absence
+    // of traffic. With pings, that absence means a broken connection; the next call opens a new one.
+    socket.setTimeout(SILENCE_TIMEOUT_MS, () => socket.destroy());
+    const pingTimer = setInterval(() => this.pingOrClose(socket), PING_INTERVAL_MS);
+    pingTimer.unref();
     socket.on('data', (bytes: Buffer) => {
-      this.counts.noteIn(bytes.length);
-      this.heardAt = performance.now();
+      this.counts.recordReceived(bytes.length);
+      this.lastReceivedAt = performance.now();
       try {
         for (const frame of reader.push(bytes)) {
-          this.take(frame);
+          this.handleFrame(frame);
         }
       } catch (err) {
         socket.destroy(schemas.toError(err));
@@ -167,39 +167,40 @@
     });
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
-      clearInterval(pinger);
-      const lost = this.waiting;
-      this.waiting = new Map();
-      lost.forEach((call) => call.reject(this.createError('linkClosed', call.path)));
+      clearInterval(pingTimer);
+      const interrupted = this.pendingCalls;
+      this.pendingCalls = new Map();
+      interrupted.forEach((call) => call.reject(this.createError('linkClosed', call.path)));
     });
   }
 
   /**
-   * A connection on which nothing came since the call went out may be forgotten by something in between,
-   * for good. The next call makes a new one, which works; waiting for pings would lose more calls first.
+   * Closes the connection if a call that started at `startedAt` is pending and nothing was received since. A middlebox may
+   * have lost its state for the connection, which then never recovers. The next call opens a new connection; until
+   * pings detect the failure, more calls would be lost.
    */
-  private suspect(askedAt: number): void {
-    const isPending = [...this.waiting.values()].some((call) => call.askedAt === askedAt);
-    if (isPending && this.heardAt < askedAt) {
+  private closeIfSilentSince(startedAt: number): void {
+    const isPending = [...this.pendingCalls.values()].some((call) => call.startedAt === startedAt);
+    if (isPending && this.lastReceivedAt < startedAt) {
       this.socket?.destroy();
     }
   }
 
-  /** Tries a link that is used, and ends one that is not: pings over idle links add up. */
-  private keep(socket: net.Socket): void {
-    if (this.waiting.size === 0 && performance.now() - this.usedAt > IDLE_MS) {
+  /** Pings a connection in use and closes an idle one, since pings on many idle connections cost bandwidth. */
+  private pingOrClose(socket: net.Socket): void {
+    if (this.pendingCalls.size === 0 && performance.now() - this.lastCallAt > IDLE_TIMEOUT_MS) {
       socket.destroy();
       return;
     }
     this.send(['ping']);
   }
 
-  private take(frame: frames.Frame): void {
+  private handleFrame(frame: frames.Frame): void {
     if ((frame[0] !== 'result' && frame[0] !== 'failure') || this.options.isCut?.()) {
       return;
     }
-    const call = this.waiting.get(frame[1]);
-    this.waiting.delete(frame[1]);
+    const call = this.pendingCalls.get(frame[1]);
+    this.pendingCalls.delete(frame[1]);
     if (call === undefined) {
       return;
     }
@@ -220,7 +221,7 @@
   }
 }
 
-/** An error that the peer itself answered with. */
+/** An error returned by the peer. */
 export class RemoteError extends Error {
   public override readonly name = 'RemoteError';
 
--- a/packages/peers/src/peer-link.ts
+++ b/packages/peers/src/peer-link.ts
@@ -4,7 +4,7 @@
 
 import type * as peerClients from './peer-client.js';
 
-/** A tRPC link that carries every call over a peer client, with the deadline from its context. */
+/** Creates a tRPC link that sends every call through a peer client, with the deadline from the call's context. */
 export function createPeerLink<TRouter extends trpc.AnyTRPCRouter>(
   client: peerClients.PeerClient,
   defaultDeadlineMs: number,
--- a/packages/peers/src/peer-mesh.ts
+++ b/packages/peers/src/peer-mesh.ts
@@ -6,18 +6,18 @@
 import * as peerClients from './peer-client.js';
 import * as peerLinks from './peer-link.js';
 
-/** A typed client of one peer. */
+/** Typed client of one peer. */
 export type PeerApi<TRouter extends trpc.AnyTRPCRouter> = ReturnType<
   typeof trpcClient.createTRPCClient<TRouter>
 >;
 
-/** Where a peer listens. */
+/** Address on which a peer listens. */
 export interface PeerPlace {
   readonly host: string;
   readonly peerPort: number;
 }
 
-/** What links to peers need. */
+/** Options of {@link PeerMesh}. */
 export interface PeerMeshOptions {
   readonly keyring: keyrings.Keyring | undefined;
   readonly deadlineMs: number;
@@ -27,23 +27,23 @@
 interface Link<TRouter extends trpc.AnyTRPCRouter> {
   readonly client: peerClients.PeerClient;
   readonly api: PeerApi<TRouter>;
-  readonly place: string;
+  readonly address: string;
 }
 
-/** The links to other daemons, one a peer, made when first needed. */
+/** The connections to other daemons, one per peer, created on first use. */
 export class PeerMesh<TRouter extends trpc.AnyTRPCRouter> {
   private readonly links = new Map<string, Link<TRouter>>();
 
   public constructor(private readonly options: PeerMeshOptions) {}
 
-  /** The client of a peer at a known place. */
+  /** Returns the client of a peer; a client for another address is closed and replaced. */
   public getAt(daemonId: string, { host, peerPort }: PeerPlace): PeerApi<TRouter> {
-    const place = `${host}:${peerPort}`;
-    const known = this.links.get(daemonId);
-    if (known?.place === place) {
-      return known.api;
+    const address = `${host}:${peerPort}`;
+    const existing = this.links.get(daemonId);
+    if (existing?.address === address) {
+      return existing.api;
     }
-    known?.client.close();
+    existing?.client.close();
     const { deadlineMs, isCutOff, keyring } = this.options;
     const client = new peerClients.PeerClient({
       peer: daemonId,
@@ -55,18 +55,18 @@
     });
     const link = peerLinks.createPeerLink<TRouter>(client, deadlineMs);
     const api = trpcClient.createTRPCClient<TRouter>({ links: [link] });
-    this.links.set(daemonId, { client, api, place });
+    this.links.set(daemonId, { client, api, address });
     return api;
   }
 
-  /** What this daemon's own links carried. */
+  /** Sums the traffic of the connections that this daemon opened. */
   public getCounts(): linkCounts.LinkCounts {
     const total = new linkCounts.LinkCounts();
     this.links.forEach(({ client }) => total.add(client.counts));
     return total;
   }
 
-  /** Ends every link. */
+  /** Closes every connection. */
   public close(): void {
     this.links.forEach(({ client }) => client.close());
   }
--- a/packages/peers/src/peer-server.ts
+++ b/packages/peers/src/peer-server.ts
@@ -9,14 +9,14 @@
 import * as linkCounts from './link-counts.js';
 import * as tlsOptions from './tls-options.js';
 
-/** What the server needs besides its router. */
+/** Options of {@link PeerServer}. */
 export interface PeerServerOptions {
   readonly host: string;
   readonly port: number;
-  /** The keys of the link; nothing where the network is trusted and the link is plain TCP. */
+  /** Keys of the TLS connections; `undefined` on a trusted network, where connections are plain TCP. */
   readonly keyring: keyrings.Keyring | undefined;
   readonly log: schemas.Log;
-  /** Whether traffic from an address is let in; failure tests cut links here. */
+  /** Whether incoming frames and their answers are dropped; failure tests simulate a network partition with it. */
   readonly isCut?: () => boolean;
 }
 
@@ -26,7 +26,7 @@
   readonly calls: Map<number, AbortController>;
 }
 
-/** Serves a tRPC router to the other daemons, one task for each connection. */
+/** Serves a tRPC router to the other daemons. */
 export class PeerServer {
   public readonly counts = new linkCounts.LinkCounts();
   private readonly server: net.Server;
@@ -39,7 +39,7 @@
     this.server = this.createServer();
   }
 
-  /** Starts to listen and gives the port. */
+  /** Starts to listen and returns the port. */
   public async listen(): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -49,7 +49,7 @@
     return typeof address === 'object' && address !== null ? address.port : 0;
   }
 
-  /** Stops listening and ends every connection. */
+  /** Stops listening and closes every connection. */
   public close(): void {
     this.server.close();
     this.sockets.forEach((socket) => socket.destroy());
@@ -57,20 +57,20 @@
 
   private createServer(): net.Server {
     const { keyring, log } = this.options;
-    const serve = (socket: net.Socket) => this.serve(socket);
+    const onConnection = (socket: net.Socket) => this.handleConnection(socket);
     if (keyring === undefined) {
-      return net.createServer(serve);
+      return net.createServer(onConnection);
     }
     const pskCallback = (_socket: tls.TLSSocket, identity: string) =>
       keyring.findKey(identity) ?? null;
-    const server = tls.createServer({ ...tlsOptions.pskOptions, pskCallback }, serve);
+    const server = tls.createServer({ ...tlsOptions.pskOptions, pskCallback }, onConnection);
     server.on('tlsClientError', (err, socket) => {
       log.warn({ step: 'accept-peer', peer: socket.remoteAddress, err: err.message });
     });
     return server;
   }
 
-  private serve(socket: net.Socket): void {
+  private handleConnection(socket: net.Socket): void {
     const reader = new frames.FrameReader();
     const writer = new frames.FrameWriter();
     const connection: Connection = { socket, writer, calls: new Map() };
@@ -85,10 +85,10 @@
       calls.forEach((call) => call.abort());
     });
     socket.on('data', (bytes: Buffer) => {
-      this.counts.noteIn(bytes.length);
+      this.counts.recordReceived(bytes.length);
       try {
         for (const frame of reader.push(bytes)) {
-          this.take(connection, frame);
+          this.handleFrame(connection, frame);
         }
       } catch (err) {
         this.options.log.warn({ step: 'read-frame', err: schemas.toError(err).message });
@@ -97,7 +97,7 @@
     });
   }
 
-  private take(connection: Connection, frame: frames.Frame): void {
+  private handleFrame(connection: Connection, frame: frames.Frame): void {
     if (this.options.isCut?.()) {
       return;
     }
@@ -106,18 +106,18 @@
     } else if (frame[0] === 'cancel') {
       connection.calls.get(frame[1])?.abort();
     } else if (frame[0] === 'call') {
-      void this.answer(connection, frame);
+      void this.handleCall(connection, frame);
     }
   }
 
-  private async answer(
+  private async handleCall(
     connection: Connection,
     [, id, path, input]: Extract<frames.Frame, readonly ['call', ...unknown[]]>,
   ): Promise<void> {
     const { calls, socket } = connection;
     const abort = new AbortController();
     calls.set(id, abort);
-    const reply = await this.run(path, input, abort.signal).then(
+    const reply = await this.callProcedure(path, input, abort.signal).then(
       (output): frames.Frame => ['result', id, output],
       (err: unknown): frames.Frame => ['failure', id, schemas.toError(err).message, getCode(err)],
     );
@@ -129,11 +129,11 @@
 
   private send({ socket, writer }: Connection, frame: frames.Frame): void {
     const bytes = writer.encode(frame);
-    this.counts.noteOut(bytes.length);
+    this.counts.recordSent(bytes.length);
     socket.write(bytes);
   }
 
-  private async run(path: string, input: unknown, signal: AbortSignal): Promise<unknown> {
+  private async callProcedure(path: string, input: unknown, signal: AbortSignal): Promise<unknown> {
     return (await trpc.callTRPCProcedure({
       router: this.router,
       path,
--- a/packages/peers/src/tls-options.ts
+++ b/packages/peers/src/tls-options.ts
@@ -1,6 +1,6 @@
 /**
- * Both ends prove the key and the stream is encrypted with forward secrecy.
- * Node offers pre-shared keys only up to TLS 1.2.
+ * TLS options for mutual authentication by pre-shared key, encrypted with forward secrecy.
+ * Node.js supports pre-shared keys only up to TLS 1.2.
  */
 export const pskOptions = {
   ciphers: 'ECDHE-PSK-CHACHA20-POLY1305',
--- a/packages/peers/tests/link.test.ts
+++ b/packages/peers/tests/link.test.ts
@@ -58,39 +58,50 @@
   return client;
 }
 
-void tap.default.test('calls, failures and deadlines go over one connection', async (t) => {
+void tap.default.test('one connection carries calls, failures and deadlines', async (t) => {
   const keyring = new peers.Keyring(writeKeys(t, { active: 'k1', keys: { k1: createKey() } }));
   const client = connect(t, keyring, await listen(t, keyring));
   t.same(await client.call('echo', { a: [1, 'ü'] }, 2_000), { a: [1, 'ü'] });
   await t.rejects(client.call('never', null, 50), /no answer within 50 ms/);
   const failed = await client.call('fail', null, 2_000).catch((err: unknown) => err);
-  t.match(failed, { code: 'notLeader', peer: 'p', step: 'fail' }, 'the peer and the step are told');
+  t.match(
+    failed,
+    { code: 'notLeader', peer: 'p', step: 'fail' },
+    'the error names the peer and the step',
+  );
 });
 
-void tap.default.test('keys are rotated without a cut, a wrong key gets nowhere', async (t) => {
-  const [old, young] = [createKey(), createKey()];
-  const serverFile = writeKeys(t, { active: 'old', keys: { old } });
-  const serverKeys = new peers.Keyring(serverFile);
-  const port = await listen(t, serverKeys);
-  const clientFile = writeKeys(t, { active: 'old', keys: { old } });
-  const clientKeys = new peers.Keyring(clientFile);
-  const first = connect(t, clientKeys, port);
-  t.equal(await first.call('echo', 1, 2_000), 1);
-  fs.writeFileSync(serverFile, JSON.stringify({ active: 'old', keys: { old, young } }));
-  serverKeys.reload();
-  fs.writeFileSync(clientFile, JSON.stringify({ active: 'young', keys: { old, young } }));
-  clientKeys.reload();
-  t.equal(await first.call('echo', 2, 2_000), 2, 'the old connection goes on');
-  t.equal(await connect(t, clientKeys, port).call('echo', 3, 2_000), 3, 'new ones use the new key');
-  const wrong = new peers.Keyring(writeKeys(t, { active: 'old', keys: { old: createKey() } }));
-  await t.rejects(connect(t, wrong, port).call('echo', 4, 2_000));
-});
+void tap.default.test(
+  'key rotation keeps connections open, and a wrong key is rejected',
+  async (t) => {
+    const [old, young] = [createKey(), createKey()];
+    const serverFile = writeKeys(t, { active: 'old', keys: { old } });
+    const serverKeys = new peers.Keyring(serverFile);
+    const port = await listen(t, serverKeys);
+    const clientFile = writeKeys(t, { active: 'old', keys: { old } });
+    const clientKeys = new peers.Keyring(clientFile);
+    const first = connect(t, clientKeys, port);
+    t.equal(await first.call('echo', 1, 2_000), 1);
+    fs.writeFileSync(serverFile, JSON.stringify({ active: 'old', keys: { old, young } }));
+    serverKeys.reload();
+    fs.writeFileSync(clientFile, JSON.stringify({ active: 'young', keys: { old, young } }));
+    clientKeys.reload();
+    t.equal(await first.call('echo', 2, 2_000), 2, 'the established connection stays open');
+    t.equal(
+      await connect(t, clientKeys, port).call('echo', 3, 2_000),
+      3,
+      'a new connection uses the new key',
+    );
+    const wrong = new peers.Keyring(writeKeys(t, { active: 'old', keys: { old: createKey() } }));
+    await t.rejects(connect(t, wrong, port).call('echo', 4, 2_000));
+  },
+);
 
-void tap.default.test('a connection that was lost is made anew for the next call', async (t) => {
+void tap.default.test('the call after a lost connection opens a new one', async (t) => {
   const keyring = new peers.Keyring(writeKeys(t, { active: 'k1', keys: { k1: createKey() } }));
   const target = await listen(t, keyring);
   const sockets = new Set<net.Socket>();
-  const middle = net.createServer((socket) => {
+  const proxy = net.createServer((socket) => {
     const upstream = net.connect(target, '127.0.0.1');
     sockets.add(socket);
     socket.pipe(upstream).pipe(socket);
@@ -98,13 +109,13 @@
     upstream.on('error', () => socket.destroy());
   });
   await new Promise<void>((resolve) => {
-    middle.listen(0, '127.0.0.1', resolve);
+    proxy.listen(0, '127.0.0.1', resolve);
   });
   t.teardown(() => {
     sockets.forEach((socket) => socket.destroy());
-    middle.close();
+    proxy.close();
   });
-  const client = connect(t, keyring, (middle.address() as net.AddressInfo).port);
+  const client = connect(t, keyring, (proxy.address() as net.AddressInfo).port);
   t.equal(await client.call('echo', 1, 2_000), 1);
   sockets.forEach((socket) => socket.destroy());
   await client.call('echo', 2, 2_000).catch(() => {});
@@ -112,60 +123,64 @@
 });
 
 void tap.default.test(
-  'a connection that went silent is replaced after the first lost call',
+  'a connection whose packets are dropped is replaced after the first lost call',
   async (t) => {
-    // Something in between has forgotten the connection: bytes vanish, nothing is reset, new ones work.
+    // Guards against reuse of a connection for which a middlebox lost its state: packets are dropped without a reset,
+    // while new connections work.
     const keyring = new peers.Keyring(writeKeys(t, { active: 'k1', keys: { k1: createKey() } }));
     const target = await listen(t, keyring);
-    let isForgetting = false;
+    let isDropping = false;
     const sockets: net.Socket[] = [];
-    const middle = net.createServer((socket) => {
+    const proxy = net.createServer((socket) => {
       const upstream = net.connect(target, '127.0.0.1');
       const isOld = sockets.length === 0;
       sockets.push(socket, upstream);
-      socket.on('data', (bytes) => (isOld && isForgetting ? undefined : upstream.write(bytes)));
-      upstream.on('data', (bytes) => (isOld && isForgetting ? undefined : socket.write(bytes)));
+      socket.on('data', (bytes) => (isOld && isDropping ? undefined : upstream.write(bytes)));
+      upstream.on('data', (bytes) => (isOld && isDropping ? undefined : socket.write(bytes)));
       [socket, upstream].forEach((side) => side.on('error', () => {}));
     });
     await new Promise<void>((resolve) => {
-      middle.listen(0, '127.0.0.1', resolve);
+      proxy.listen(0, '127.0.0.1', resolve);
     });
     t.teardown(() => {
       sockets.forEach((socket) => socket.destroy());
-      middle.close();
+      proxy.close();
     });
-    const client = connect(t, keyring, (middle.address() as net.AddressInfo).port);
+    const client = connect(t, keyring, (proxy.address() as net.AddressInfo).port);
     t.equal(await client.call('echo', 1, 2_000), 1);
-    isForgetting = true;
+    isDropping = true;
     await t.rejects(client.call('echo', 2, 150), /no answer/);
-    t.equal(await client.call('echo', 3, 2_000), 3, 'the next call goes over a new connection');
+    t.equal(await client.call('echo', 3, 2_000), 3, 'the next call uses a new connection');
   },
 );
 
-void tap.default.test('frames survive any cutting, and too large ones are refused', async (t) => {
-  const frames: peers.Frame[] = [
-    ['call', 1, 'echo', { text: 'Lüderitz', bytes: Buffer.from([1, 2, 3]) }],
-    ['call', 2, 'echo', { text: 'the same shape', bytes: Buffer.from([4]) }],
-    ['result', 1, undefined],
-    ['ping'],
-  ];
-  const writer = new peers.FrameWriter();
-  const bytes = Buffer.concat(frames.map((frame) => writer.encode(frame)));
-  const property = fc.property(
-    fc.array(fc.integer({ min: 1, max: 20 }), { minLength: 1 }),
-    (cuts) => {
-      const reader = new peers.FrameReader();
-      const found: peers.Frame[] = [];
-      for (let at = 0, i = 0; at < bytes.length; i += 1) {
-        const size = cuts[i % cuts.length]!;
-        found.push(...reader.push(bytes.subarray(at, at + size)));
-        at += size;
-      }
-      return JSON.stringify(found) === JSON.stringify(frames);
-    },
-  );
-  t.doesNotThrow(() => fc.assert(property, { seed: 3, numRuns: 200 }));
-  const head = Buffer.alloc(4);
-  head.writeUInt32BE(peers.MAX_FRAME_BYTES + 1);
-  t.throws(() => [...new peers.FrameReader().push(head)], /over the limit/);
-});
+void tap.default.test(
+  'frames are decoded however the bytes are split, and oversized ones are refused',
+  async (t) => {
+    const frames: peers.Frame[] = [
+      ['call', 1, 'echo', { text: 'Lüderitz', bytes: Buffer.from([1, 2, 3]) }],
+      ['call', 2, 'echo', { text: 'the same shape', bytes: Buffer.from([4]) }],
+      ['result', 1, undefined],
+      ['ping'],
+    ];
+    const writer = new peers.FrameWriter();
+    const bytes = Buffer.concat(frames.map((frame) => writer.encode(frame)));
+    const property = fc.property(
+      fc.array(fc.integer({ min: 1, max: 20 }), { minLength: 1 }),
+      (cuts) => {
+        const reader = new peers.FrameReader();
+        const found: peers.Frame[] = [];
+        for (let at = 0, i = 0; at < bytes.length; i += 1) {
+          const size = cuts[i % cuts.length]!;
+          found.push(...reader.push(bytes.subarray(at, at + size)));
+          at += size;
+        }
+        return JSON.stringify(found) === JSON.stringify(frames);
+      },
+    );
+    t.doesNotThrow(() => fc.assert(property, { seed: 3, numRuns: 200 }));
+    const head = Buffer.alloc(4);
+    head.writeUInt32BE(peers.MAX_FRAME_BYTES + 1);
+    t.throws(() => [...new peers.FrameReader().push(head)], /over the limit/);
+  },
+);
