--- a/packages/telemetry/src/bounded-log.ts
+++ b/packages/telemetry/src/bounded-log.ts
@@ -3,29 +3,29 @@
 import type * as metricSinks from './metric-sink.js';
 
 /**
- * Lines of one kind per second. An entry host at the size that the design is made for ends 8 calls a second and writes
- * two lines for each; a burst of ten times that is still logged in full.
+ * Sustained rate per kind of line. At the size this system is designed for, an entry host completes 8 calls a second and
+ * writes two lines for each; a burst of ten times that rate is still logged in full.
  */
 const LINES_PER_S = 80;
 
-/** Lines of one kind that may come at once, on top of that. */
+/** Capacity of the token bucket of each kind, in lines: the burst that is logged beyond the sustained rate. */
 const BURST_LINES = 160;
 
-/** How often it is told what was left out, in milliseconds. */
-const SUMMARY_MS = 1_000;
+/** Minimum interval between two summaries of dropped lines, in milliseconds. */
+const SUMMARY_INTERVAL_MS = 1_000;
 
-/** Outcomes that are no failure; lines about failures have a budget of their own. */
-const SUCCESSES = new Set(['complete', undefined]);
+/** Outcomes that are not failures. Lines about failures have a separate token bucket. */
+const SUCCESS_OUTCOMES = new Set(['complete', undefined]);
 
 type Level = 'debug' | 'info' | 'warn' | 'error';
 
 interface Bucket {
-  left: number;
-  at: number;
-  leftOut: number;
+  tokens: number;
+  refilledAt: number;
+  droppedLines: number;
 }
 
-/** What a bounded log needs. */
+/** Options of {@link BoundedLog}. */
 export interface BoundedLogOptions {
   readonly log: schemas.Log;
   readonly clock: schemas.Clock;
@@ -33,13 +33,13 @@
 }
 
 /**
- * A log whose volume is bounded. Under a flood of calls, or of one fault, each kind of line has its own budget, and
- * the lines about failures have theirs apart from successes of the same kind, so neither hides the other nor
- * fills the disk of whoever collects them. What is left out is counted and told.
+ * A log with a rate limit per kind of line. Failures and successes of the same kind are limited separately, so that under
+ * a burst of calls or of one fault neither suppresses the other and the collector's disk does not fill up. Dropped lines
+ * are counted in a metric and reported in summary lines.
  */
 export class BoundedLog implements schemas.Log {
   private readonly buckets = new Map<string, Bucket>();
-  private toldAt = 0;
+  private lastSummaryAt = 0;
 
   public constructor(private readonly options: BoundedLogOptions) {}
 
@@ -62,47 +62,54 @@
   private write(level: Level, fields: object, msg: string | undefined): void {
     const { clock, log, metrics } = this.options;
     const now = clock.now();
-    this.tell(now);
+    this.writeSummaryIfDue(now);
     const kind = getKind(level, fields);
-    const bucket = this.fill(kind, now);
-    if (bucket.left < 1) {
-      bucket.leftOut += 1;
+    const bucket = this.refillBucket(kind, now);
+    if (bucket.tokens < 1) {
+      bucket.droppedLines += 1;
       metrics.count('logLinesLeftOut', { kind });
       return;
     }
-    bucket.left -= 1;
+    bucket.tokens -= 1;
     log[level](fields, msg);
   }
 
-  private fill(kind: string, now: number): Bucket {
-    const bucket = this.buckets.get(kind) ?? { left: BURST_LINES, at: now, leftOut: 0 };
+  private refillBucket(kind: string, now: number): Bucket {
+    const bucket = this.buckets.get(kind) ?? {
+      tokens: BURST_LINES,
+      refilledAt: now,
+      droppedLines: 0,
+    };
     this.buckets.set(kind, bucket);
-    bucket.left = Math.min(BURST_LINES, bucket.left + ((now - bucket.at) / 1_000) * LINES_PER_S);
-    bucket.at = now;
+    bucket.tokens = Math.min(
+      BURST_LINES,
+      bucket.tokens + ((now - bucket.refilledAt) / 1_000) * LINES_PER_S,
+    );
+    bucket.refilledAt = now;
     return bucket;
   }
 
-  /** Tells what was left out, at most once in a while. */
-  private tell(now: number): void {
-    if (now - this.toldAt < SUMMARY_MS) {
+  /** Logs how many lines of each kind were dropped, at most once per {@link SUMMARY_INTERVAL_MS}. */
+  private writeSummaryIfDue(now: number): void {
+    if (now - this.lastSummaryAt < SUMMARY_INTERVAL_MS) {
       return;
     }
-    this.toldAt = now;
-    const leftOut = [...this.buckets].filter(([, bucket]) => bucket.leftOut > 0);
-    if (leftOut.length === 0) {
+    this.lastSummaryAt = now;
+    const limited = [...this.buckets].filter(([, bucket]) => bucket.droppedLines > 0);
+    if (limited.length === 0) {
       return;
     }
-    const counts = Object.fromEntries(leftOut.map(([kind, bucket]) => [kind, bucket.leftOut]));
-    leftOut.forEach(([, bucket]) => {
-      bucket.leftOut = 0;
+    const counts = Object.fromEntries(limited.map(([kind, bucket]) => [kind, bucket.droppedLines]));
+    limited.forEach(([, bucket]) => {
+      bucket.droppedLines = 0;
     });
     this.options.log.warn({ event: 'log-lines-left-out', counts });
   }
 }
 
-/** The kind of a line: what it tells of, and whether it tells of a failure. */
+/** Returns the kind of a line: its decision, event or step, and whether it reports a failure. */
 function getKind(level: Level, fields: object): string {
   const { decision, event, outcome, step } = fields as Record<string, string | undefined>;
-  const isFailure = level === 'warn' || level === 'error' || !SUCCESSES.has(outcome);
+  const isFailure = level === 'warn' || level === 'error' || !SUCCESS_OUTCOMES.has(outcome);
   return `${decision ?? event ?? step ?? 'other'}${isFailure ? ':failure' : ''}`;
 }
--- a/packages/telemetry/src/call-trail.ts
+++ b/packages/telemetry/src/call-trail.ts
@@ -1,20 +1,20 @@
-/** One line of a log. */
+/** A parsed log line. */
 export type LogLine = Readonly<Record<string, unknown>>;
 
-/** What the lines on one call say. */
+/** The log lines about one call, and the cause derived from them. */
 export interface CallTrail {
-  /** Why the call ended as it did, in a sentence. */
+  /** Why the call ended as it did, in one sentence. */
   readonly cause: string;
-  /** The lines on the call, in order of time. */
+  /** The lines about the call, in order of time. */
   readonly lines: readonly LogLine[];
 }
 
-/** The reason of a refusal of a call under which too many upstreams ended. */
+/** Reason with which a call is refused because too many upstream processes ended while they ran it. */
 const QUARANTINED = 'quarantined';
 
 type Explain = (own: readonly LogLine[], all: readonly LogLine[]) => string | undefined;
 
-/** Finds why a call ended as it did, in the lines of any number of processes. */
+/** Determines why a call ended as it did, from the log lines of any number of processes. */
 export function explainCall(all: readonly LogLine[], request: string): CallTrail {
   const lines = all
     .filter((line) => line.request === request)
@@ -25,31 +25,34 @@
   return { cause: cause ?? 'the lines do not say why', lines };
 }
 
-/** From the most telling to the least; the first that fits is the cause. */
+/** Ordered from the most specific to the least; the first explanation that applies is the cause. */
 const EXPLANATIONS: readonly Explain[] = [
   (own) => (own.length === 0 ? 'no line has this identifier' : undefined),
   explainQuarantine,
   explainRefusal,
-  explainNoRoom,
-  explainUnusableCopy,
+  explainNoCapacity,
+  explainUnusableBackup,
   explainNoRetry,
-  explainNoCopy,
-  explainLeft,
-  explainNoEnd,
+  explainNoBackup,
+  explainCallerLeft,
+  explainMissingOutcome,
   explainFailure,
   explainSuccess,
 ];
 
-function find(lines: readonly LogLine[], decision: string): LogLine | undefined {
+function findDecision(lines: readonly LogLine[], decision: string): LogLine | undefined {
   return lines.findLast((line) => line.decision === decision);
 }
 
-function findEnd(own: readonly LogLine[], outcome: string): LogLine | undefined {
-  const end = find(own, 'outcome');
+function findOutcome(own: readonly LogLine[], outcome: string): LogLine | undefined {
+  const end = findDecision(own, 'outcome');
   return end?.outcome === outcome ? end : undefined;
 }
 
-/** Such a call may have been sent before, to an upstream that ended under it; whether it has run its outcome tells. */
+/**
+ * Explains a refusal by quarantine. An upstream that ended may have run such a call before, so the explanation includes
+ * the outcome, which states whether the call ran.
+ */
 function explainQuarantine(own: readonly LogLine[], all: readonly LogLine[]): string | undefined {
   const line = own.findLast(
     ({ decision, reason }) => decision === 'refuse' && reason === QUARANTINED,
@@ -60,69 +63,72 @@
   const { digest } = line;
   const ended = all.filter((item) => item.event === 'process-ended' && item.digest === digest);
   const processes = [...new Set(ended.map(({ upstream }) => String(upstream)))];
-  const known = processes.length === 0 ? '' : `: ${processes.join(', ')}`;
+  const listed = processes.length === 0 ? '' : `: ${processes.join(', ')}`;
   return (
-    `refused as quarantined (digest ${String(digest)}): upstreams ended each time they began to run it${known};` +
-    ` its outcome is ${String(find(own, 'outcome')?.outcome)}`
+    `refused as quarantined (digest ${String(digest)}): upstreams ended each time they began to run it${listed};` +
+    ` its outcome is ${String(findDecision(own, 'outcome')?.outcome)}`
   );
 }
 
 function explainRefusal(own: readonly LogLine[]): string | undefined {
-  const line = find(own, 'refuse');
+  const line = findDecision(own, 'refuse');
   return (
     line &&
-    `refused from its head with status ${String(line.status)}: ${String(line.reason)}` +
+    `refused upon its head with status ${String(line.status)}: ${String(line.reason)}` +
       ` (configuration ${String(line.version)}, host ${String(line.host)}); it did not run`
   );
 }
 
-function explainNoRoom(own: readonly LogLine[]): string | undefined {
-  const line = find(own, 'no-room');
+function explainNoCapacity(own: readonly LogLine[]): string | undefined {
+  const line = findDecision(own, 'no-room');
   return (
     line &&
-    `refused for want of room at ${String(line.service)}: ${String(line.running)} generations` +
-      ` were to fill ${getPercent(line.share)} of the engines, after ${String(line.waitedMs)} ms` +
+    `refused for lack of capacity at ${String(line.service)}: ${String(line.running)} generations` +
+      ` were expected to fill ${getPercent(line.share)} of the engines, after ${String(line.waitedMs)} ms` +
       ' of waiting; it did not run'
   );
 }
 
-function explainUnusableCopy(own: readonly LogLine[]): string | undefined {
-  const failed = find(own, 'resume-failed');
-  return findEnd(own, 'incomplete') && failed
+function explainUnusableBackup(own: readonly LogLine[]): string | undefined {
+  const failed = findDecision(own, 'resume-failed');
+  return findOutcome(own, 'incomplete') && failed
     ? `engine ${String(failed.former)} broke off and the copy at ${String(failed.upstream)}` +
         ` could not be used: ${String(failed.err)}`
     : undefined;
 }
 
 function explainNoRetry(own: readonly LogLine[]): string | undefined {
-  const refused = find(own, 'resume-refused');
-  if (refused === undefined || findEnd(own, 'incomplete') === undefined) {
+  const refused = findDecision(own, 'resume-refused');
+  if (refused === undefined || findOutcome(own, 'incomplete') === undefined) {
     return undefined;
   }
   return refused.reason === 'quarantine'
-    ? 'its engine broke off, and it is quarantined for the upstreams that ended under it'
-    : 'its engine broke off and the retry budget allowed no other to go on';
+    ? 'its engine broke off, and it is quarantined because upstreams ended while they ran it'
+    : 'its engine broke off, and the retry budget did not allow another engine to resume it';
 }
 
-function explainNoCopy(own: readonly LogLine[]): string | undefined {
-  const end = findEnd(own, 'incomplete');
-  const failed = find(own, 'copy-failed');
+function explainNoBackup(own: readonly LogLine[]): string | undefined {
+  const end = findOutcome(own, 'incomplete');
+  const failed = findDecision(own, 'copy-failed');
   const why =
     failed === undefined ? 'there was no copy' : `no copy was made: ${String(failed.err)}`;
   return end && `engine ${String(end.upstream)} broke off, and ${why}`;
 }
 
-function explainLeft(own: readonly LogLine[]): string | undefined {
-  const end = findEnd(own, 'caller-left');
+function explainCallerLeft(own: readonly LogLine[]): string | undefined {
+  const end = findOutcome(own, 'caller-left');
   return (
     end && `the caller left after ${String(end.tookMs)} ms, while it was at ${String(end.upstream)}`
   );
 }
 
-/** A process that is killed writes no end; that it started again is in its lines. */
-function explainNoEnd(own: readonly LogLine[], all: readonly LogLine[]): string | undefined {
+/** Explains a call without an outcome. A process that is killed logs none, but a later start of its host is logged. */
+function explainMissingOutcome(
+  own: readonly LogLine[],
+  all: readonly LogLine[],
+): string | undefined {
   const last = own.at(-1);
-  if (last === undefined || find(own, 'outcome') !== undefined) {
+  if (last === undefined || findDecision(own, 'outcome') !== undefined) {
     return undefined;
   }
   const restart = all.find(
@@ -132,12 +138,12 @@
       Number(line.time ?? 0) > Number(last.time ?? 0),
   );
   return restart === undefined
-    ? 'it has no end in these lines; it may still run, or its host is gone'
-    : `host ${String(last.host)} ended while the call ran, and started again`;
+    ? 'these lines contain no outcome of it; it may still run, or its host is gone'
+    : `host ${String(last.host)} ended while the call ran, and restarted`;
 }
 
 function explainFailure(own: readonly LogLine[]): string | undefined {
-  const end = find(own, 'outcome');
+  const end = findDecision(own, 'outcome');
   if (end === undefined || end.outcome === 'complete') {
     return undefined;
   }
@@ -150,15 +156,15 @@
 }
 
 function explainSuccess(own: readonly LogLine[]): string | undefined {
-  const end = findEnd(own, 'complete');
+  const end = findOutcome(own, 'complete');
   if (end === undefined) {
     return undefined;
   }
-  const waitedMs = Number(find(own, 'route')?.waitedMs ?? 0);
+  const waitedMs = Number(findDecision(own, 'route')?.waitedMs ?? 0);
   const sends = own.filter((line) => line.decision === 'route').length;
   return (
     `complete with status ${String(end.status)} in ${String(end.tookMs)} ms: ${waitedMs} ms of` +
-    ` waiting for room, ${sends} sends, ${String(end.resumes)} times resumed${describePace(end)}`
+    ` waiting for capacity, ${sends} sends, resumed ${String(end.resumes)} times${describePace(end)}`
   );
 }
 
--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -1,4 +1,4 @@
-/** Counters, histograms and logs of bounded volume. */
+/** Metrics, rate-limited logs and the explanation of calls from log lines. */
 export * from './bounded-log.js';
 export * from './call-trail.js';
 export * from './metric-catalog.js';
--- a/packages/telemetry/src/metric-catalog.ts
+++ b/packages/telemetry/src/metric-catalog.ts
@@ -1,7 +1,7 @@
-/** How a metric is kept. */
+/** Type of a metric. */
 export type MetricKind = 'counter' | 'histogram' | 'gauge';
 
-/** What a metric is called, and what it says. */
+/** Name, type and description of a metric. */
 export interface MetricFacts {
   readonly kind: MetricKind;
   readonly name: string;
@@ -9,7 +9,7 @@
   readonly labels: readonly string[];
 }
 
-/** Every metric of this system, by id; names end in their unit. */
+/** Every metric of this system, by id. Names of histograms end in their unit, names of counters in `_total`. */
 export const METRICS = {
   calls: {
     kind: 'counter',
@@ -142,5 +142,5 @@
   },
 } as const satisfies Record<string, MetricFacts>;
 
-/** The id of a metric. */
+/** Id of a metric. */
 export type MetricId = keyof typeof METRICS;
--- a/packages/telemetry/src/metric-sink.ts
+++ b/packages/telemetry/src/metric-sink.ts
@@ -1,19 +1,19 @@
 import type * as metricCatalogs from './metric-catalog.js';
 
-/** Label values by label. */
+/** Label values by label name. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** Where metrics go. */
+/** Receives metrics. */
 export interface MetricSink {
-  /** Counts one thing that happened. */
+  /** Increments a counter. */
   count(id: metricCatalogs.MetricId, labels?: Labels): void;
-  /** Notes a time in milliseconds. */
+  /** Records a duration, in milliseconds. */
   time(id: metricCatalogs.MetricId, ms: number, labels?: Labels): void;
-  /** Has a level read whenever metrics are looked at. */
+  /** Registers a gauge whose value is read whenever metrics are collected. */
   watch(id: metricCatalogs.MetricId, read: () => number): void;
 }
 
-/** Metrics that go nowhere. */
+/** Discards all metrics. */
 export class SilentMetrics implements MetricSink {
   public count(): void {}
 
--- a/packages/telemetry/tests/bounded-log.test.ts
+++ b/packages/telemetry/tests/bounded-log.test.ts
@@ -18,35 +18,41 @@
   return { lines, log, metrics };
 }
 
-void tap.default.test('a flood of one kind hides neither failures nor other kinds', async (t) => {
-  // 5,000 calls a second are served for two seconds while a few fail. Who looks for a failed call must find it, and
-  // whoever collects the lines must not be flooded.
-  const clock = new schemas.VirtualClock();
-  const { lines, log, metrics } = createLog(clock);
-  for (let i = 0; i < 10_000; i += 1) {
-    log.info({ decision: 'outcome', outcome: 'complete', request: `c${i}` });
-    if (i % 200 === 0) {
-      log.info({ decision: 'outcome', outcome: 'incomplete', request: `f${i}` });
-      await clock.advance(40);
+void tap.default.test(
+  'a burst of one kind of line suppresses neither failures nor other kinds',
+  async (t) => {
+    // 5,000 calls a second succeed for two seconds while a few fail. Guards against lost lines about failures, and against
+    // an unbounded volume of lines for the log collector.
+    const clock = new schemas.VirtualClock();
+    const { lines, log, metrics } = createLog(clock);
+    for (let i = 0; i < 10_000; i += 1) {
+      log.info({ decision: 'outcome', outcome: 'complete', request: `c${i}` });
+      if (i % 200 === 0) {
+        log.info({ decision: 'outcome', outcome: 'incomplete', request: `f${i}` });
+        await clock.advance(40);
+      }
     }
-  }
-  log.warn({ event: 'list-lost' });
-  const count = (outcome: string) => lines.filter((line) => line.outcome === outcome).length;
-  t.equal(count('incomplete'), 50, 'every failure is there');
-  t.ok(count('complete') <= 160 + 2 * 80, `${count('complete')} successes`);
-  t.ok(lines.some((line) => line.event === 'list-lost'));
-  const told = lines
-    .filter((line) => line.event === 'log-lines-left-out')
-    .map((line) => (line.counts as Record<string, number>).outcome ?? 0);
-  t.ok(told.length >= 1 && told.length <= 3, 'told now and then');
-  t.match(
-    await metrics.render(),
-    /bramleyridge_log_lines_left_out_total\{kind="outcome"\} [1-9]\d{3}/,
-    'and counted',
-  );
-});
+    log.warn({ event: 'list-lost' });
+    const count = (outcome: string) => lines.filter((line) => line.outcome === outcome).length;
+    t.equal(count('incomplete'), 50, 'every failure is logged');
+    t.ok(count('complete') <= 160 + 2 * 80, `${count('complete')} successes`);
+    t.ok(lines.some((line) => line.event === 'list-lost'));
+    const summaries = lines
+      .filter((line) => line.event === 'log-lines-left-out')
+      .map((line) => (line.counts as Record<string, number>).outcome ?? 0);
+    t.ok(
+      summaries.length >= 1 && summaries.length <= 3,
+      'dropped lines are summarized at most once a second',
+    );
+    t.match(
+      await metrics.render(),
+      /bramleyridge_log_lines_left_out_total\{kind="outcome"\} [1-9]\d{3}/,
+      'dropped lines are counted in a metric',
+    );
+  },
+);
 
-void tap.default.test('an ordinary load is logged in full', async (t) => {
+void tap.default.test('normal load is logged in full', async (t) => {
   const clock = new schemas.VirtualClock();
   const { lines, log } = createLog(clock);
   for (let i = 0; i < 600; i += 1) {
--- a/packages/telemetry/tests/call-trail.test.ts
+++ b/packages/telemetry/tests/call-trail.test.ts
@@ -17,15 +17,15 @@
   outcome: 'incomplete',
 };
 
-void tap.default.test('each way in which a call fails has its cause', async (t) => {
+void tap.default.test('each kind of failure is explained by its cause', async (t) => {
   const cases = [
     {
-      name: 'refused from the head',
+      name: 'refused upon its head',
       lines: [{ decision: 'refuse', request: 'c1', reason: 'teamKey', status: 401, version: 7 }],
       cause: /status 401: teamKey \(configuration 7/,
     },
     {
-      name: 'no room',
+      name: 'no capacity',
       lines: [
         {
           decision: 'no-room',
@@ -37,10 +37,10 @@
         },
         { decision: 'outcome', request: 'c1', outcome: 'not-run', status: 503 },
       ],
-      cause: /want of room at s: 44 generations .* 89% .* 739 ms/,
+      cause: /lack of capacity at s: 44 generations .* 89% .* 739 ms/,
     },
     {
-      name: 'the copy cannot be used',
+      name: 'the KV-cache backup cannot be used',
       lines: [
         route,
         {
@@ -56,22 +56,22 @@
       cause: /e1 broke off and the copy at e2 could not be used: no/,
     },
     {
-      name: 'the retry budget is used up',
+      name: 'the retry budget is exhausted',
       lines: [route, { time: 5, decision: 'resume-refused', request: 'c1' }, incomplete],
-      cause: /the retry budget allowed no other/,
+      cause: /the retry budget did not allow another engine/,
     },
     {
-      name: 'a stream that is quarantined does not go on',
+      name: 'a quarantined stream is not resumed',
       lines: [
         route,
         { time: 4, decision: 'refuse', request: 'c2', reason: 'quarantined', digest: 'd1' },
         { time: 5, decision: 'resume-refused', request: 'c1', reason: 'quarantine' },
         incomplete,
       ],
-      cause: /quarantined for the upstreams that ended under it/,
+      cause: /quarantined because upstreams ended while they ran it/,
     },
     {
-      name: 'a call that is quarantined',
+      name: 'a quarantined call',
       lines: [
         { time: 1, event: 'process-ended', upstream: 'e1', digest: 'd1' },
         { time: 2, event: 'process-ended', upstream: 'e7', digest: 'd2' },
@@ -82,7 +82,7 @@
       cause: /quarantined \(digest d1\): .*: e1, e2; its outcome is not-run/,
     },
     {
-      name: 'no copy could be made',
+      name: 'no KV-cache backup could be made',
       lines: [route, { time: 5, decision: 'copy-failed', request: 'c1', err: 'full' }, incomplete],
       cause: /e1 broke off, and no copy was made: full/,
     },
@@ -91,7 +91,7 @@
       lines: [route, { time: 4, host: 'h1', event: 'started' }],
       cause: /host h1 ended while the call ran/,
     },
-    { name: 'still running', lines: [route], cause: /no end in these lines/ },
+    { name: 'still running', lines: [route], cause: /these lines contain no outcome/ },
     {
       name: 'the upstream was lost',
       lines: [
@@ -124,7 +124,7 @@
       cause: /left after 7200 ms, while it was at e1/,
     },
     {
-      name: 'another call',
+      name: 'no lines about the call',
       lines: [{ decision: 'route', request: 'c2' }],
       cause: /no line has this/,
     },
@@ -134,7 +134,7 @@
   });
 });
 
-void tap.default.test('lines of several processes come in order of time', async (t) => {
+void tap.default.test('lines of several processes are sorted by time', async (t) => {
   const { lines } = telemetry.explainCall([incomplete, route], 'c1');
   t.same(
     lines.map((line) => line.time),
--- a/packages/telemetry/tests/text-metrics.test.ts
+++ b/packages/telemetry/tests/text-metrics.test.ts
@@ -1,7 +1,7 @@
 import * as telemetry from '@bramleyridge/telemetry';
 import * as tap from 'tap';
 
-void tap.default.test('what is counted, timed and watched is in the text', async (t) => {
+void tap.default.test('counters, histograms and gauges are rendered as text', async (t) => {
   const metrics = new telemetry.TextMetrics();
   metrics.count('calls', { route: 'r1', outcome: 'complete', reason: 'none' });
   metrics.count('calls', { route: 'r1', outcome: 'complete', reason: 'none' });
@@ -16,13 +16,13 @@
     'a counter',
   );
   t.match(text, /bramleyridge_call_duration_ms_bucket\{le="50",route="r1"\} 1/, 'a histogram');
-  t.match(text, /bramleyridge_active_calls 7/, 'a level as it is when it is read');
-  t.match(text, /# HELP bramleyridge_active_calls /, 'with what it says');
+  t.match(text, /bramleyridge_active_calls 7/, 'a gauge with its value at the time of rendering');
+  t.match(text, /# HELP bramleyridge_active_calls /, 'a description');
 });
 
-void tap.default.test('label sets are bounded', async (t) => {
-  // An operator declares thousands of routes, or their names change with every version. Memory must not grow with
-  // them; the sum stays right.
+void tap.default.test('the number of label sets is limited', async (t) => {
+  // Guards against memory that grows with the number of route names, when an operator declares thousands of routes or
+  // renames them with every version. The sum over all label sets stays correct.
   const metrics = new telemetry.TextMetrics();
   for (let i = 0; i < 2_000; i += 1) {
     metrics.count('calls', { route: `r${i}`, outcome: 'complete', reason: 'none' });
@@ -36,14 +36,18 @@
 });
 
 void tap.default.test(
-  'every metric of the catalogue is of one name and says what it is',
+  'every metric of the catalogue has a unique name, a description and a unit',
   async (t) => {
     const all = Object.values(telemetry.METRICS);
     t.equal(new Set(all.map(({ name }) => name)).size, all.length);
     all.forEach(({ help, kind, name }) => {
       t.ok(help.length > 10, name);
-      t.equal(kind === 'counter', name.endsWith('_total'), `${name} ends as counters do`);
-      t.ok(kind !== 'histogram' || name.endsWith('_ms'), `${name} has its unit`);
+      t.equal(
+        kind === 'counter',
+        name.endsWith('_total'),
+        `${name} has the suffix of a counter if and only if it is one`,
+      );
+      t.ok(kind !== 'histogram' || name.endsWith('_ms'), `${name} ends in its unit`);
     });
   },
 );
