--- a/packages/cli/src/bramleyctl.ts
+++ b/packages/cli/src/bramleyctl.ts
@@ -11,19 +11,19 @@
 
 const KEY_BYTES = 32;
 
-interface Common {
+interface CommonOptions {
   readonly url: string[];
   readonly token: string;
   readonly json: boolean;
 }
 
 function getClient(args: object): clients.OperatorClient {
-  const { token, url } = args as Common;
+  const { token, url } = args as CommonOptions;
   return new clients.OperatorClient(url, token);
 }
 
 function getOutput(args: object): commands.Output {
-  const { json } = args as Common;
+  const { json } = args as CommonOptions;
   return { isJson: json, write: (text) => process.stdout.write(`${text}\n`) };
 }
 
@@ -52,24 +52,24 @@
       type: 'string',
       array: true,
       default: (process.env.BRAMLEYRIDGE_URL ?? '').split(',').filter((url) => url !== ''),
-      describe: 'daemons to ask, also BRAMLEYRIDGE_URL',
+      describe: 'URLs of daemons, tried in order; default: BRAMLEYRIDGE_URL',
     })
     .option('token', {
       type: 'string',
       default: process.env.BRAMLEYRIDGE_TOKEN ?? '',
-      describe: "the operator's token, also BRAMLEYRIDGE_TOKEN",
+      describe: "the operator's token; default: BRAMLEYRIDGE_TOKEN",
     })
     .option('json', { type: 'boolean', default: false, describe: 'print JSON' })
-    .command('validate', 'check a folder of declarations', { folder }, (args) =>
+    .command('validate', 'validate a folder of declarations', { folder }, (args) =>
       commands.validate(getOutput(args), args.folder),
     )
     .command(
       'diff',
-      'show what a folder would change',
+      'show the changes that a folder would make',
       { folder, 'exit-code': { type: 'boolean', default: false } },
       (args) => commands.diff(getClient(args), getOutput(args), args.folder, args['exit-code']),
     )
-    .command('plan', 'make a plan; nothing happens yet', { folder }, (args) =>
+    .command('plan', 'create a plan without putting it in force', { folder }, (args) =>
       commands.plan(getClient(args), getOutput(args), args.folder),
     )
     .command(
@@ -80,18 +80,18 @@
     )
     .command(
       'status',
-      'show which host has what in force',
+      'show the revision in force on each host',
       { wait: { type: 'number' }, timeout: { type: 'number', default: 30, describe: 'seconds' } },
       (args) => commands.status(getClient(args), getOutput(args), args.wait, args.timeout * 1_000),
     )
     .command(
       'explain <request>',
-      'show the decisions on a request',
+      'show the decisions about a request',
       (y) =>
         y.positional('request', { type: 'string', demandOption: true }).option('logs', {
           type: 'string',
           array: true,
-          describe: 'log files to look in, instead of asking the daemons',
+          describe: 'log files to search instead of querying the daemons',
         }),
       (args) =>
         args.logs === undefined
@@ -110,16 +110,19 @@
           .positional('daemon', { type: 'string', default: '' }),
       (args) => commands.voters(getClient(args), getOutput(args), args.action, args.daemon),
     )
-    .command('drain', 'stop the daemon at --url when it has finished', {}, (args) =>
-      commands.tell(getClient(args), getOutput(args), '/drain'),
+    .command(
+      'drain',
+      'stop the daemon at --url after its running requests have ended',
+      {},
+      (args) => commands.tell(getClient(args), getOutput(args), '/drain'),
     )
     .command(
       'refound-claims',
-      'begin a new claim group that remembers no key; see the operators’ page first',
+      'start a new claim group without any recorded keys; read the operators’ page first',
       {},
       (args) => commands.tell(getClient(args), getOutput(args), '/claims/refound'),
     )
-    .command('reload-keys', 'let the daemon at --url read its keys again', {}, (args) =>
+    .command('reload-keys', 'make the daemon at --url reload its keys', {}, (args) =>
       commands.tell(getClient(args), getOutput(args), '/keys/reload'),
     )
     .command(
@@ -129,7 +132,9 @@
         y.positional('what', { choices: ['settings', 'declaration'] as const, demandOption: true }),
       (args) => printSchema(args.what),
     )
-    .command('new-keys', 'print a new file of keys for the links', {}, () => printKeys())
+    .command('new-keys', 'print a new key file for the connections between daemons', {}, () =>
+      printKeys(),
+    )
     .command('new-token', 'print a new token and its hash', {}, () => printToken())
     .demandCommand(1)
     .strict()
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -9,16 +9,16 @@
 import * as logFiles from './log-files.js';
 import * as clients from './operator-client.js';
 
-/** How often `status --wait` looks, in milliseconds. */
-const WAIT_POLL_MS = 100;
+/** Interval at which `status --wait` polls, in milliseconds. */
+const STATUS_POLL_INTERVAL_MS = 100;
 
-/** Where a command writes: for a person, or as JSON. */
+/** Destination of a command's output, as text or as JSON. */
 export interface Output {
   readonly isJson: boolean;
   readonly write: (text: string) => void;
 }
 
-function show(output: Output, value: unknown, lines: readonly string[]): void {
+function print(output: Output, value: unknown, lines: readonly string[]): void {
   output.write(output.isJson ? JSON.stringify(value) : lines.join('\n'));
 }
 
@@ -26,29 +26,29 @@
   return schemas.parse(schemas.statusReport, await client.get('/status'), 'status');
 }
 
-/** Checks a folder of declarations without asking anyone. */
+/** Validates a folder of declarations without a request to a daemon. */
 export function validate(output: Output, folder: string): void {
   const files = folders.readDeclarationFolder(folder);
-  show(output, { files: files.length }, [`${files.length} declarations are valid`]);
+  print(output, { files: files.length }, [`${files.length} declarations are valid`]);
 }
 
-/** Shows what a folder would change, without planning it. */
+/** Shows the changes that a folder would make, without creating a plan. */
 export async function diff(
   client: clients.OperatorClient,
   output: Output,
   folder: string,
   wantsExitCode: boolean,
 ): Promise<void> {
-  const wanted = schemas.createDeclaration(folders.readDeclarationFolder(folder));
-  const present = (await client.get('/declaration')) as schemas.Declaration;
-  const changes = intents.diffDeclarations(present, wanted);
-  show(output, changes, changes.map(intents.describeChange));
+  const desired = schemas.createDeclaration(folders.readDeclarationFolder(folder));
+  const current = (await client.get('/declaration')) as schemas.Declaration;
+  const changes = intents.diffDeclarations(current, desired);
+  print(output, changes, changes.map(intents.describeChange));
   if (wantsExitCode && changes.length > 0) {
     throw new exits.ExitError(exits.EXIT.different, `${changes.length} differences`);
   }
 }
 
-/** Makes a plan and shows it. */
+/** Creates a plan and shows it. */
 export async function plan(
   client: clients.OperatorClient,
   output: Output,
@@ -65,11 +65,11 @@
     throw clients.createFailure(answer);
   }
   const { plan: made, effects } = answer.body as { plan: schemas.Plan; effects: string[] };
-  show(output, answer.body, [
+  print(output, answer.body, [
     `${made.planId} on revision ${made.baseRevision}, content ${made.contentHash}`,
     ...made.changes.map((change) => `  ${intents.describeChange(change)}`),
     ...effects.map((effect) => `  then ${effect}`),
-    `nothing happens until: bramleyctl confirm ${made.planId}`,
+    `to put it in force: bramleyctl confirm ${made.planId}`,
   ]);
 }
 
@@ -85,10 +85,10 @@
     throw clients.createFailure(answer);
   }
   const { revision } = answer.body as { revision: number };
-  show(output, answer.body, [`${planId} is confirmed as revision ${revision}`]);
+  print(output, answer.body, [`${planId} is confirmed as revision ${revision}`]);
 }
 
-/** Shows who has what in force; with `wait`, until every host has that revision. */
+/** Shows the revision in force on each host; with `wait`, polls until every host has that revision. */
 export async function status(
   client: clients.OperatorClient,
   output: Output,
@@ -98,11 +98,11 @@
   const end = Date.now() + timeoutMs;
   for (;;) {
     const found = await getStatus(client);
-    const isThere =
+    const isReached =
       wait === undefined || (found.revision >= wait && found.zones.every((zone) => zone.isInForce));
-    if (isThere || Date.now() >= end) {
-      show(output, found, describeStatus(found));
-      if (!isThere) {
+    if (isReached || Date.now() >= end) {
+      print(output, found, describeStatus(found));
+      if (!isReached) {
         throw new exits.ExitError(
           exits.EXIT.waiting,
           `revision ${wait} is not in force everywhere`,
@@ -111,27 +111,28 @@
       return;
     }
     await new Promise((resolve) => {
-      setTimeout(resolve, WAIT_POLL_MS);
+      setTimeout(resolve, STATUS_POLL_INTERVAL_MS);
     });
   }
 }
 
-function describeStatus(found: schemas.StatusReport): string[] {
-  const seats = found.claimSeats.map((seat) => seat.daemonId).join(', ') || 'none yet';
+function describeStatus(report: schemas.StatusReport): string[] {
+  const acceptors = report.claimSeats.map((seat) => seat.daemonId).join(', ') || 'none yet';
   return [
-    `revision ${found.revision}, leader ${found.leader}, claim seats: ${seats}`,
-    ...found.voters.map(
-      (voter) => `  voter ${voter.daemonId}: holds ${voter.match}, heard ${voter.silentMs} ms ago`,
+    `revision ${report.revision}, leader ${report.leader}, claim acceptors: ${acceptors}`,
+    ...report.voters.map(
+      (voter) =>
+        `  voter ${voter.daemonId}: log index ${voter.match}, last response ${voter.silentMs} ms ago`,
     ),
-    ...found.zones.flatMap((zone) => [
-      `  ${zone.availabilityZone}: ${zone.isInForce ? 'in force' : 'NOT known to be in force'}` +
-        (zone.silentMs < 0 ? ', never heard' : `, heard ${zone.silentMs} ms ago`),
+    ...report.zones.flatMap((zone) => [
+      `  ${zone.availabilityZone}: ${zone.isInForce ? 'in force' : 'NOT confirmed to be in force'}` +
+        (zone.silentMs < 0 ? ', no report yet' : `, last report ${zone.silentMs} ms ago`),
       ...zone.hosts.map((host) => `    ${host.daemonId}: revision ${host.revision}`),
     ]),
   ];
 }
 
-/** Shows the decisions on one request, from the daemon that took them. */
+/** Shows the decisions about a request, as recorded by the daemon that made them. */
 export async function explain(
   client: clients.OperatorClient,
   output: Output,
@@ -146,14 +147,14 @@
       ? await client.call('GET', path)
       : await client.callAt(host.url, 'GET', path);
   const decisions = answer.body as { at: string; decision: string; reason: string }[];
-  show(
+  print(
     output,
     decisions,
     decisions.map((item) => `${item.at} ${item.decision}: ${JSON.stringify(item)}`),
   );
 }
 
-/** Shows why a call ended as it did, from the log files of any processes: the cause on top, then its lines. */
+/** Shows why a call ended as it did, from the log files of any processes: first the cause, then the lines about it. */
 export async function explainFromLogs(
   output: Output,
   files: readonly string[],
@@ -161,16 +162,16 @@
 ): Promise<void> {
   const found = await logFiles.readLinesOn(files, request);
   const trail = telemetry.explainCall(found, request);
-  show(output, trail, [trail.cause, ...trail.lines.map((line) => JSON.stringify(line))]);
+  print(output, trail, [trail.cause, ...trail.lines.map((line) => JSON.stringify(line))]);
   if (trail.lines.length === 0) {
-    throw new exits.ExitError(exits.EXIT.failed, `no line on ${request}`);
+    throw new exits.ExitError(exits.EXIT.failed, `no log line about ${request}`);
   }
 }
 
 /** Lists the intents in force. */
 export async function listIntents(client: clients.OperatorClient, output: Output): Promise<void> {
   const { intents: list } = (await client.get('/declaration')) as schemas.Declaration;
-  show(
+  print(
     output,
     list,
     list.map(
@@ -195,14 +196,14 @@
     }
   }
   const found = await getStatus(client);
-  show(
+  print(
     output,
     found.voters,
-    found.voters.map((voter) => `${voter.daemonId}: holds ${voter.match}`),
+    found.voters.map((voter) => `${voter.daemonId}: log index ${voter.match}`),
   );
 }
 
-/** Tells a daemon something that has no answer but that it was done. */
+/** Sends a daemon a command whose response only acknowledges it. */
 export async function tell(
   client: clients.OperatorClient,
   output: Output,
@@ -212,5 +213,5 @@
   if (answer.status >= 300) {
     throw clients.createFailure(answer);
   }
-  show(output, {}, ['done']);
+  print(output, {}, ['done']);
 }
--- a/packages/cli/src/declaration-folder.ts
+++ b/packages/cli/src/declaration-folder.ts
@@ -6,7 +6,7 @@
 
 import * as exits from './exit-codes.js';
 
-/** Reads every JSON file of a folder as a declaration; all faults are told at once. */
+/** Reads every JSON file below a folder as a declaration; one error lists all faults. */
 export function readDeclarationFolder(folder: string): schemas.DeclarationFile[] {
   const names = fs
     .readdirSync(folder, { recursive: true, encoding: 'utf8' })
--- a/packages/cli/src/exit-codes.ts
+++ b/packages/cli/src/exit-codes.ts
@@ -1,19 +1,19 @@
-/** What the program's exit tells a pipeline. */
+/** Exit codes of the program. */
 export const EXIT = {
   ok: 0,
-  /** The call failed; nothing is known to have changed. */
+  /** The request failed; whether anything changed is not known. */
   failed: 1,
   /** The arguments or the declaration are not valid. */
   invalid: 2,
   /** `diff --exit-code` found differences. */
   different: 3,
-  /** A confirmation was refused: something else was confirmed first. */
+  /** The confirmation was refused because another plan was confirmed first. */
   conflict: 4,
   /** `status --wait` ended before every host had the revision in force. */
   waiting: 5,
 } as const;
 
-/** Ends the program with a code and, where given, a message for a person. */
+/** Ends the program with an exit code and a message. */
 export class ExitError extends Error {
   public override readonly name = 'ExitError';
 
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,4 +1,4 @@
-/** The operator's commands; the program is `bramleyctl`. */
+/** Commands of the operator's command-line program, `bramleyctl`. */
 export * from './commands.js';
 export * from './declaration-folder.js';
 export * from './exit-codes.js';
--- a/packages/cli/src/log-files.ts
+++ b/packages/cli/src/log-files.ts
@@ -3,12 +3,12 @@
 
 import type * as telemetry from '@bramleyridge/telemetry';
 
-/** Where a line's JSON begins; whoever collects lines may have put a time or a host before it. */
+/** First character of a line's JSON; log collectors may prepend a time or a host name. */
 const JSON_START = '{';
 
 /**
- * Reads the lines of log files that a call's explanation may need: its own, and the starts of processes. Files are
- * read as they come, since those of a day do not fit in memory.
+ * Reads the log lines needed to explain a call: those that contain its identifier, and the starts of processes. Files
+ * are streamed, since a day of log lines does not fit in memory.
  */
 export async function readLinesOn(
   files: readonly string[],
@@ -32,7 +32,7 @@
   try {
     return start < 0 ? undefined : (JSON.parse(text.slice(start)) as telemetry.LogLine);
   } catch {
-    // Half a line at the end of a file that is still written, or a line of another program.
+    // A truncated line at the end of a file that is still being written, or a line of another program.
     return undefined;
   }
 }
--- a/packages/cli/src/operator-client.ts
+++ b/packages/cli/src/operator-client.ts
@@ -3,19 +3,19 @@
 
 import * as exits from './exit-codes.js';
 
-/** How long one daemon may take to answer, in milliseconds. */
-const ANSWER_MS = 10_000;
+/** Timeout of a request to one daemon, in milliseconds. */
+const ANSWER_TIMEOUT_MS = 10_000;
 
-/** How often every daemon is tried before giving up. */
-const ROUNDS = 3;
+/** Number of attempts at each daemon before a call fails. */
+const MAX_ROUNDS = 3;
 
-/** An answer of the operators' API. */
+/** Response of the operators' API. */
 export interface Answer {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Calls the operators' API through whichever daemon answers. */
+/** Calls the operators' API through the first daemon that answers. */
 export class OperatorClient {
   public constructor(
     private readonly urls: readonly string[],
@@ -23,28 +23,31 @@
   ) {}
 
   /**
-   * One call. A lost answer is asked for again, also through another daemon; commands carry a request
-   * identifier, so that the second try gets the first answer.
+   * Sends a request. Without an answer, or with status 503, the request is retried, also through other daemons.
+   * Commands carry a request identifier, so that a retry gets the answer of the first attempt.
    */
   public async call(method: 'GET' | 'POST', path: string, body?: unknown): Promise<Answer> {
-    let last = 'no URL is given: use --url or BRAMLEYRIDGE_URL';
-    for (let round = 0; round < ROUNDS; round += 1) {
+    let lastFailure = 'no URL is given: use --url or BRAMLEYRIDGE_URL';
+    for (let round = 0; round < MAX_ROUNDS; round += 1) {
       for (const url of this.urls) {
         try {
           const answer = await this.callAt(url, method, path, body);
           if (answer.status !== 503) {
             return answer;
           }
-          last = `${url}: ${JSON.stringify(answer.body)}`;
+          lastFailure = `${url}: ${JSON.stringify(answer.body)}`;
         } catch (err) {
-          last = `${url}: ${schemas.toError(err).message}`;
+          lastFailure = `${url}: ${schemas.toError(err).message}`;
         }
       }
     }
-    throw new exits.ExitError(exits.EXIT.failed, `no daemon answered; last: ${last}`);
+    throw new exits.ExitError(
+      exits.EXIT.failed,
+      `no daemon answered; last failure: ${lastFailure}`,
+    );
   }
 
-  /** One call at one daemon. */
+  /** Sends a request to one daemon. */
   public async callAt(
     url: string,
     method: 'GET' | 'POST',
@@ -55,12 +58,12 @@
       method,
       headers: { authorization: `Bearer ${this.token}`, 'content-type': 'application/json' },
       body: body === undefined ? undefined : JSON.stringify(body),
-      signal: AbortSignal.timeout(ANSWER_MS),
+      signal: AbortSignal.timeout(ANSWER_TIMEOUT_MS),
     });
     return { status: res.statusCode, body: await res.body.json() };
   }
 
-  /** One call whose failure ends the program. */
+  /** Sends a GET request; any status but 200 ends the program with an error. */
   public async get(path: string): Promise<unknown> {
     const answer = await this.call('GET', path);
     if (answer.status !== 200) {
@@ -70,7 +73,7 @@
   }
 }
 
-/** The end of the program for an answer that is an error. */
+/** Creates the error that ends the program for an error response. */
 export function createFailure(answer: Answer): exits.ExitError {
   const { error } = answer.body as Partial<schemas.ErrorBody>;
   const code = answer.status === 409 ? exits.EXIT.conflict : exits.EXIT.failed;
--- a/packages/cli/tests/cli.test.ts
+++ b/packages/cli/tests/cli.test.ts
@@ -27,7 +27,7 @@
 });
 
 void tap.default.test(
-  'faults are told all at once with file and path, and the exit code is 2',
+  'all faults are listed with file and path, and the exit code is 2',
   async (t) => {
     const folder = writeFolder(t, {
       'broken.json': '{',
@@ -53,17 +53,17 @@
   },
 );
 
-void tap.default.test('exit codes tell a pipeline what happened', async (t) => {
+void tap.default.test('each kind of result has its exit code', async (t) => {
   const cases = [
     { name: 'no command', args: [], status: 2 },
     { name: 'an unknown command', args: ['fly'], status: 2 },
-    { name: 'nobody answers', args: ['status', '--url', 'http://127.0.0.1:9'], status: 1 },
+    { name: 'no daemon answers', args: ['status', '--url', 'http://127.0.0.1:9'], status: 1 },
     { name: 'the schema', args: ['schema', 'settings'], status: 0 },
   ];
   cases.forEach(({ name, args, status }) => t.equal(run(...args).status, status, name));
 });
 
-void tap.default.test('the JSON Schemas for editors are those of the program', async (t) => {
+void tap.default.test('the committed JSON Schemas are those that the program prints', async (t) => {
   const folder = url.fileURLToPath(new URL('../../../../docs/schemas', import.meta.url));
   ['settings', 'declaration'].forEach((what) => {
     const kept: unknown = JSON.parse(
@@ -73,8 +73,8 @@
   });
 });
 
-void tap.default.test('a call is explained from log files, with the cause on top', async (t) => {
-  // The files of two hosts are at hand, one of them with a time before each line and half a line at its end.
+void tap.default.test('a call is explained from log files, with the cause first', async (t) => {
+  // Log files of two hosts; one has a time before its first line and a truncated line at its end.
   const folder = writeFolder(t, {
     'a.log':
       '12.5 {"time":1,"host":"a","decision":"route","request":"c1","upstream":"e1"}\n{"time":3,"ho',
@@ -89,5 +89,9 @@
   const [cause, ...lines] = done.stdout.trim().split('\n');
   t.equal(cause, 'engine e1 broke off, and there was no copy');
   t.equal(lines.length, 2);
-  t.equal(run('explain', 'c9', '--logs', ...files).status, 1, 'an identifier that is nowhere');
+  t.equal(
+    run('explain', 'c9', '--logs', ...files).status,
+    1,
+    'an identifier that no line contains',
+  );
 });
