--- a/packages/schemas/src/change-signal.ts
+++ b/packages/schemas/src/change-signal.ts
@@ -1,27 +1,27 @@
 import type * as clocks from './clock.js';
 
-/** Wakes every waiter when something changed; waits also end after a time. */
+/** Notifies all waiters of a change; each wait also has a timeout. */
 export class ChangeSignal {
   private waiters = new Set<() => void>();
 
-  /** Wakes everyone who waits now. */
+  /** Resolves every wait that is pending now. */
   public notify(): void {
-    const woken = this.waiters;
+    const resolvers = this.waiters;
     this.waiters = new Set();
-    woken.forEach((wake) => wake());
+    resolvers.forEach((resolveWaiter) => resolveWaiter());
   }
 
   /** Resolves at the next `notify`, or after `ms`, whichever comes first. */
   public async wait(clock: clocks.Clock, ms: number): Promise<void> {
     const abort = new AbortController();
-    let wake = () => {};
+    let resolveWaiter = () => {};
     const notified = new Promise<void>((resolve) => {
-      wake = resolve;
+      resolveWaiter = resolve;
     });
-    this.waiters.add(wake);
+    this.waiters.add(resolveWaiter);
     const slept = clock.sleep(ms, abort.signal).catch(() => {});
     await Promise.race([notified, slept]);
-    this.waiters.delete(wake);
+    this.waiters.delete(resolveWaiter);
     abort.abort(new Error('woken'));
   }
 }
--- a/packages/schemas/src/clock.ts
+++ b/packages/schemas/src/clock.ts
@@ -1,12 +1,12 @@
-/** Time as the code sees it; tests and replays pass their own. */
+/** Source of time; tests and replays pass their own implementation. */
 export interface Clock {
-  /** Milliseconds on a clock that never jumps. */
+  /** Returns the milliseconds of a monotonic clock. */
   now(): number;
-  /** Resolves after `ms`; rejects with the signal's reason when it is aborted. */
+  /** Resolves after `ms` milliseconds; rejects with the signal's reason when it is aborted. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** The monotonic clock of the machine. */
+/** The monotonic clock of the host. */
 export class SystemClock implements Clock {
   public now(): number {
     return performance.now();
@@ -37,7 +37,10 @@
   readonly wake: () => void;
 }
 
-/** A clock that moves only when told to; equal times wake in the order in which they were set. */
+/**
+ * A clock that is advanced explicitly. Sleeps that end at the same time resolve in the order in which they were
+ * started.
+ */
 export class VirtualClock implements Clock {
   private time = 0;
   private order = 0;
@@ -68,7 +71,10 @@
     });
   }
 
-  /** Moves time on, waking sleepers one by one and letting their work settle in between. */
+  /**
+   * Advances the time by `ms` milliseconds. Resolves due sleeps one by one and lets the work that follows settle in
+   * between.
+   */
   public async advance(ms: number): Promise<void> {
     const end = this.time + ms;
     await settle();
@@ -88,7 +94,7 @@
   }
 }
 
-/** Lets every promise that can settle without time passing do so. */
+/** Waits until every promise that does not depend on the clock has settled. */
 async function settle(): Promise<void> {
   await new Promise<void>((resolve) => {
     setImmediate(resolve);
--- a/packages/schemas/src/control.ts
+++ b/packages/schemas/src/control.ts
@@ -13,13 +13,13 @@
 /** One difference between two declarations. */
 export type Change = z.infer<typeof change>;
 
-/** The states of a plan. */
+/** States of a plan. */
 export const planStatus = z.enum(['planned', 'confirmed', 'superseded', 'expired']);
 
-/** The states of a plan. */
+/** States of a plan. */
 export type PlanStatus = z.infer<typeof planStatus>;
 
-/** What an operator is shown before anything happens. */
+/** A set of changes that an operator reviews, and confirms to put it in force. */
 export const plan = z.object({
   planId: z.string(),
   operator: z.string(),
@@ -32,30 +32,30 @@
   supersededBy: z.string().optional(),
 });
 
-/** What an operator is shown before anything happens. */
+/** A set of changes that an operator reviews, and confirms to put it in force. */
 export type Plan = z.infer<typeof plan>;
 
-/** Who holds a seat of the claim group, and since which revision. */
+/** The daemon that is a claim acceptor, and the revision since which it is. */
 export const claimSeat = z.object({ daemonId: z.string(), since: z.int() });
 
-/** Who holds a seat of the claim group. */
+/** The daemon that is a claim acceptor. */
 export type ClaimSeat = z.infer<typeof claimSeat>;
 
-/** The configuration in force: the declaration and what the system itself keeps beside it. */
+/** The configuration in force: the declaration and the state that the system maintains with it. */
 export const configuration = z.object({
   revision: z.int(),
   declaration: declarations.declaration,
   claimSeats: z.array(claimSeat),
-  /** `daemonId@incarnation` of those who founded the claim group, and so began with nothing to recover. */
+  /** `daemonId@incarnation` of the first acceptors of the claim group, which have no earlier claims to recover. */
   claimFounders: z.array(z.string()),
-  /** The revision at which each team's availability zones last became fewer. */
+  /** For each team, the revision at which availability zones were last removed from it. */
   narrowedAt: z.record(z.string(), z.int()),
 });
 
 /** The configuration in force. */
 export type Configuration = z.infer<typeof configuration>;
 
-/** What changed from one revision to the next. */
+/** Changes from one revision to the next. */
 export const delta = z.object({
   from: z.int(),
   to: z.int(),
@@ -64,10 +64,10 @@
   claimFounders: z.array(z.string()),
 });
 
-/** What changed from one revision to the next. */
+/** Changes from one revision to the next. */
 export type Delta = z.infer<typeof delta>;
 
-/** A command of the replicated log; `requestId` makes a resend give the first answer. */
+/** A command of the replicated log. A retry with the same `requestId` gets the result of the first attempt. */
 export const command = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('plan'),
@@ -88,9 +88,9 @@
     requestId: z.string(),
     operator: z.string(),
     at: z.number(),
-    /** Who is to hold each seat, as `daemonId@incarnation`. */
+    /** The acceptors that form the claim group, as `daemonId@incarnation`. */
     holders: z.array(z.string()),
-    /** Begins a new group that remembers nothing of the former one. */
+    /** Whether a new claim group starts, without the claims of the former one. */
     isFounding: z.boolean(),
   }),
 ]);
@@ -98,7 +98,7 @@
 /** A command of the replicated log. */
 export type Command = z.infer<typeof command>;
 
-/** The result of a command, the same on every voter. */
+/** Result of a command, identical on every voter. */
 export const commandResult = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('planned'), plan }),
   z.object({ kind: z.literal('confirmed'), planId: z.string(), revision: z.int() }),
@@ -110,5 +110,5 @@
   }),
 ]);
 
-/** The result of a command. */
+/** Result of a command. */
 export type CommandResult = z.infer<typeof commandResult>;
--- a/packages/schemas/src/daemon-config.ts
+++ b/packages/schemas/src/daemon-config.ts
@@ -2,7 +2,7 @@
 
 import * as names from './names.js';
 
-/** One daemon of the deployment, as its peers find it. */
+/** Identity and addresses of a daemon of the deployment, for its peers. */
 export const daemonEntry = z.strictObject({
   daemonId: names.name,
   availabilityZone: names.name,
@@ -12,7 +12,7 @@
   voter: z.boolean().default(false),
 });
 
-/** One daemon of the deployment, as its peers find it. */
+/** Identity and addresses of a daemon of the deployment, for its peers. */
 export type DaemonEntry = z.infer<typeof daemonEntry>;
 
 const operatorToken = z.strictObject({ operator: names.name, sha256: names.sha256 });
@@ -36,7 +36,7 @@
   claimDeadlineMs: z.int().min(20).default(1_500),
 });
 
-/** The settings of one daemon. */
+/** Settings of a daemon. */
 export const daemonConfig = z
   .strictObject({
     daemonId: names.name,
@@ -66,10 +66,10 @@
     message: 'the lease must be shorter than the election timeout',
   });
 
-/** The settings of one daemon. */
+/** Settings of a daemon. */
 export type DaemonConfig = z.infer<typeof daemonConfig>;
 
-/** The pre-shared keys of the link between daemons, base64, and the one used for new connections. */
+/** Pre-shared keys of the connections between daemons, in base64, and the name of the key for new connections. */
 export const keyFile = z
   .strictObject({
     active: names.name,
@@ -80,5 +80,5 @@
     message: 'names no key of this file',
   });
 
-/** The pre-shared keys of the link between daemons. */
+/** Pre-shared keys of the connections between daemons. */
 export type KeyFile = z.infer<typeof keyFile>;
--- a/packages/schemas/src/declaration.ts
+++ b/packages/schemas/src/declaration.ts
@@ -2,7 +2,9 @@
 
 import * as names from './names.js';
 
-/** A customer of the deployment: who they are, where their data may be, their share. */
+/**
+ * A customer of the deployment: its tokens, the availability zones where its data may be, and its share of capacity.
+ */
 export const team = z.strictObject({
   kind: z.literal('team'),
   name: names.name,
@@ -26,7 +28,7 @@
   overflowRisk: z.number().min(0.0001).max(0.5).default(0.02),
 });
 
-/** A plain service and the calls that must not be repeated. */
+/** A plain service, and its calls that must not be repeated. */
 export const service = z.strictObject({
   kind: z.literal('service'),
   name: names.name,
@@ -44,7 +46,7 @@
 /** One declaration file. */
 export const declarationFile = z.discriminatedUnion('kind', [team, intent, service]);
 
-/** Everything that the operators declare. */
+/** The complete declaration of the operators. */
 export const declaration = z.strictObject({
   teams: z.array(team),
   intents: z.array(intent),
@@ -59,10 +61,10 @@
 export type Service = z.infer<typeof service>;
 /** One declaration file. */
 export type DeclarationFile = z.infer<typeof declarationFile>;
-/** Everything that the operators declare. */
+/** The complete declaration of the operators. */
 export type Declaration = z.infer<typeof declaration>;
 
-/** Sorts declaration files into one declaration, ordered by name so that equal content is equal. */
+/** Merges declaration files into one declaration, sorted by name so that equal content has equal JSON. */
 export function createDeclaration(files: readonly DeclarationFile[]): Declaration {
   const byName = (a: { name: string }, b: { name: string }) => (a.name < b.name ? -1 : 1);
   return {
--- a/packages/schemas/src/index.ts
+++ b/packages/schemas/src/index.ts
@@ -1,4 +1,4 @@
-/** Schemas, messages and errors that every other package shares. */
+/** Schemas, messages, errors and small utilities shared by the other packages. */
 export * from './change-signal.js';
 export * from './clock.js';
 export * from './daemon-config.js';
--- a/packages/schemas/src/lifecycle.ts
+++ b/packages/schemas/src/lifecycle.ts
@@ -2,12 +2,12 @@
 
 import * as stepError from './step-error.js';
 
-/** For each state, where each event leads. */
+/** Transition table: for each state, the next state by event. */
 export type Moves<S extends string, E extends string> = Readonly<
   Record<S, Readonly<Partial<Record<E, S>>>>
 >;
 
-/** The legal moves of one life, held by robot3; a move that the table lacks is an error. */
+/** A state machine, implemented by robot3. An event that the transition table does not allow is an error. */
 export class Lifecycle<S extends string, E extends string> {
   private readonly service: robot.Service<robot.Machine>;
 
@@ -27,17 +27,17 @@
     this.service = robot.interpret(machine, () => {});
   }
 
-  /** The present state. */
+  /** The current state. */
   public get state(): S {
     return this.service.machine.current as S;
   }
 
-  /** Whether an event is legal now. */
+  /** Returns whether an event is allowed in the current state. */
   public can(event: E): boolean {
     return this.moves[this.state][event] !== undefined;
   }
 
-  /** Moves on, or throws when the event is not legal now. */
+  /** Applies an event and returns the new state; throws if the event is not allowed in the current state. */
   public move(event: E): S {
     if (!this.can(event)) {
       throw new stepError.StepError({ id: 'illegalMove', step: event, args: [this.state, event] });
--- a/packages/schemas/src/listed-upstream.ts
+++ b/packages/schemas/src/listed-upstream.ts
@@ -1,30 +1,30 @@
 import * as z from 'zod';
 
-/** A back end as a list of the platform gives it; the list lags. */
+/** An upstream as listed by the platform; the list lags behind the actual state. */
 export const listedUpstream = z.object({
-  /** Names the back end; one that starts again may keep the name. */
+  /** Name of the upstream; a restarted upstream may keep it. */
   upstreamId: z.string().min(1),
   /**
-   * When its process started, in milliseconds since 1970, where it is told. The same name with a later start is a
-   * process that holds and knows nothing of what ran before.
+   * Start time of its process, in milliseconds since 1970, if listed. The same name with a later start time is a new
+   * process, which has none of the runs or cached data of the former one.
    */
   bornMs: z.int().min(0).optional(),
   service: z.string(),
-  /** IP address and port. */
+  /** IP address and port, separated by a colon. */
   address: z.string(),
   availabilityZone: z.string(),
   isLeaving: z.boolean(),
-  /** Whether it says itself that it leaves, while the list does not show it yet; it may take that back. */
+  /** Whether the upstream itself reports that it is leaving before the list shows it; it may withdraw that report. */
   saysLeaving: z.boolean().optional(),
   slots: z.int().min(1),
-  /** How long it will still be slow after its start, in milliseconds. */
+  /** Remaining time for which it is slow after its start, in milliseconds. */
   coldMs: z.number().min(0),
 });
 
-/** A back end as a list of the platform gives it. */
+/** An upstream as listed by the platform. */
 export type ListedUpstream = z.infer<typeof listedUpstream>;
 
-/** Whether a back end has started again since it was listed so, under the name that it had. */
+/** Returns whether an upstream has restarted under the same name between two entries of the list. */
 export function isReborn(former: ListedUpstream, listed: ListedUpstream): boolean {
   return (
     former.bornMs !== undefined && listed.bornMs !== undefined && listed.bornMs > former.bornMs
--- a/packages/schemas/src/log.ts
+++ b/packages/schemas/src/log.ts
@@ -1,4 +1,4 @@
-/** A structured log; pino satisfies it. */
+/** A structured log; a pino logger implements it. */
 export interface Log {
   debug(fields: object, msg?: string): void;
   info(fields: object, msg?: string): void;
@@ -6,7 +6,7 @@
   error(fields: object, msg?: string): void;
 }
 
-/** A log that keeps nothing, for tests and replays. */
+/** Discards all lines, for tests and replays. */
 export class SilentLog implements Log {
   public debug(): void {}
 
--- a/packages/schemas/src/members.ts
+++ b/packages/schemas/src/members.ts
@@ -3,13 +3,13 @@
 import * as control from './control.js';
 import * as upstreams from './upstream.js';
 
-/** The states of a daemon in the eyes of its zone. */
+/** States of a daemon as determined by its zone's relay. */
 export const memberState = z.enum(['live', 'suspect', 'leaving', 'gone']);
 
-/** The states of a daemon in the eyes of its zone. */
+/** States of a daemon as determined by its zone's relay. */
 export type MemberState = z.infer<typeof memberState>;
 
-/** What a daemon says of itself with each heartbeat; a restarted process is a new incarnation. */
+/** A daemon's report about itself, sent with each heartbeat; a restarted process has a new incarnation. */
 export const beat = z.object({
   daemonId: z.string(),
   incarnation: z.number(),
@@ -21,71 +21,73 @@
   revision: z.int(),
 });
 
-/** What a daemon says of itself with each heartbeat. */
+/** A daemon's report about itself, sent with each heartbeat. */
 export type Beat = z.infer<typeof beat>;
 
-/** A daemon in a zone's list. */
+/** A daemon in the directory of a zone. */
 export const member = beat.extend({ state: memberState });
 
-/** A daemon in a zone's list. */
+/** A daemon in the directory of a zone. */
 export type Member = z.infer<typeof member>;
 
-/** The daemons and upstreams of one zone, as its relay sees them; `stamp` changes with the content. */
+/** The daemons and upstreams of one zone, as compiled by its relay; `stamp` changes with the content. */
 export const directory = z.object({
   stamp: z.string(),
   availabilityZone: z.string(),
   members: z.array(member),
   upstreams: z.array(upstreams.upstream),
-  /** Whether the relay has read the platform's list; daemons of the version before tell a directory only with one. */
+  /**
+   * Whether the relay has read the platform's list. Daemons of the previous version send a directory only after that.
+   */
   hasList: z.boolean().default(true),
 });
 
 /** The daemons and upstreams of one zone. */
 export type Directory = z.infer<typeof directory>;
 
-/** Where callers find each zone, for redirects. */
+/** URLs at which callers reach each zone, for redirects. */
 export const zoneEntries = z.object({
   stamp: z.string(),
   urls: z.record(z.string(), z.array(z.string())),
 });
 
-/** Where callers find each zone, for redirects. */
+/** URLs at which callers reach each zone, for redirects. */
 export type ZoneEntries = z.infer<typeof zoneEntries>;
 
-/** A heartbeat that is answered at once when there is news, or after `waitMs` when there is none. */
+/** A heartbeat, answered by long polling: at once if there are updates, otherwise after `waitMs` milliseconds. */
 export const syncReq = z.object({
   from: z.string(),
   incarnation: z.number(),
   availabilityZone: z.string(),
-  /** Beats that changed since the receiver last answered; all of them after it asked. */
+  /** Reports that changed since the receiver last answered; all of them after it set `needsBeats`. */
   beats: z.array(beat),
   isWhole: z.boolean(),
-  /** Daemons that the sender reported before and no longer hears. */
+  /** Daemons that the sender reported before and reports no longer. */
   dropped: z.array(z.string()),
   revision: z.int(),
   directoryStamp: z.string(),
   entriesStamp: z.string(),
   waitMs: z.int(),
-  /** Sent when the receiver said that it is behind. */
+  /** Sent after the receiver set `needsConfiguration`. */
   configuration: control.configuration.optional(),
 });
 
 /** A heartbeat. */
 export type SyncReq = z.infer<typeof syncReq>;
 
-/** The answer to a heartbeat: only what the sender lacks. */
+/** Answer to a heartbeat; contains only what the sender does not have yet. */
 export const syncRes = z.object({
   revision: z.int(),
   deltas: z.array(control.delta).optional(),
   configuration: control.configuration.optional(),
   directory: directory.optional(),
   entries: zoneEntries.optional(),
-  /** How long ago a leader vouched that `revision` is the newest, in milliseconds. */
+  /** Time since a leader confirmed that `revision` is the newest, in milliseconds. */
   ageMs: z.number(),
   leader: z.string().optional(),
   needsBeats: z.boolean(),
   needsConfiguration: z.boolean(),
 });
 
-/** The answer to a heartbeat. */
+/** Answer to a heartbeat. */
 export type SyncRes = z.infer<typeof syncRes>;
--- a/packages/schemas/src/messages.ts
+++ b/packages/schemas/src/messages.ts
@@ -1,4 +1,4 @@
-/** Every message that callers, operators or logs see, by id; `%s` is filled in order. */
+/** Message texts for callers, operators and logs, by id; each `%s` is replaced by the next argument. */
 export const messages = {
   badBody: 'the body is not valid: %s',
   badConfig: 'the settings are not valid: %s',
@@ -49,5 +49,5 @@
   upstreamUnreachable: 'the upstream could not be reached; the call did not run',
 } as const;
 
-/** The id of a message. */
+/** Id of a message. */
 export type MessageId = keyof typeof messages;
--- a/packages/schemas/src/names.ts
+++ b/packages/schemas/src/names.ts
@@ -5,8 +5,8 @@
   .string()
   .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'lower-case letters, digits and dashes, at most 63');
 
-/** A TCP port; 0 lets the operating system choose. */
+/** A TCP port; with 0, the operating system assigns one. */
 export const port = z.int().min(0).max(65535);
 
-/** The hex form of a SHA-256 digest. */
+/** A SHA-256 digest in hex. */
 export const sha256 = z.string().regex(/^[0-9a-f]{64}$/, '64 lower-case hex digits');
--- a/packages/schemas/src/parse.ts
+++ b/packages/schemas/src/parse.ts
@@ -2,14 +2,14 @@
 
 import * as stepError from './step-error.js';
 
-/** Lists every fault of a failed parse, one a line, each with its JSON path and what is allowed. */
+/** Lists every fault of a failed parse, each with its JSON path, the message of the schema and the value found. */
 export function listFaults(err: z.ZodError, input: unknown): string[] {
   return err.issues.map((issue) => {
     const path = issue.path.map(String).join('.') || '(root)';
     const value = issue.path.reduce<unknown>(
-      (at, key) =>
-        typeof at === 'object' && at !== null
-          ? (at as Record<PropertyKey, unknown>)[key]
+      (parent, key) =>
+        typeof parent === 'object' && parent !== null
+          ? (parent as Record<PropertyKey, unknown>)[key]
           : undefined,
       input,
     );
@@ -18,7 +18,7 @@
   });
 }
 
-/** Parses with a schema or throws one error that lists every fault. */
+/** Parses a value with a schema; throws one error that lists every fault. */
 export function parse<T>(schema: z.ZodType<T>, input: unknown, step: string): T {
   const result = schema.safeParse(input);
   if (result.success) {
--- a/packages/schemas/src/rendezvous.ts
+++ b/packages/schemas/src/rendezvous.ts
@@ -2,12 +2,12 @@
 
 const hasher = await xxhash.default();
 
-/** A 32-bit hash, the same in every process. */
+/** Returns a 32-bit hash of a text, identical in every process. */
 export function getHash32(text: string): number {
   return hasher.h32(text);
 }
 
-/** Orders candidates by highest random weight for a key; the first is the key's owner. */
+/** Sorts candidates by rendezvous hashing (highest random weight) for a key; the first is the key's owner. */
 export function rankByKey(key: string, candidates: readonly string[]): string[] {
   return candidates
     .map((id) => ({ id, weight: hasher.h32(`${key}/${id}`) }))
--- a/packages/schemas/src/routed-config.ts
+++ b/packages/schemas/src/routed-config.ts
@@ -1,62 +1,65 @@
 import * as z from 'zod';
 
-/** Whether the calls of a route may be run again: any number of times, or once at most. */
+/** Whether calls of a route may run again: `idempotent` any number of times, `once` at most once. */
 export const repeatability = z.enum(['idempotent', 'once']);
 
-/** A share of a route's calls that goes to one service. */
+/** A service that receives a weighted share of a route's calls. */
 export const routeTarget = z.object({ service: z.string(), weight: z.number().min(0) });
 
-/** Where the calls of one host and path prefix go, and how they are treated. */
+/** The services for calls with a host name and path prefix, and the rules for these calls. */
 export const route = z.object({
   name: z.string(),
   host: z.string().min(1),
   pathPrefix: z.string().startsWith('/'),
   repeatability,
-  /** Whether answers are streams of events that are passed on as they arrive. */
+  /** Whether answers are event streams, forwarded as the events arrive. */
   isStream: z.boolean(),
-  /** Whether calls are generations on engines, and tell their tokens and prefixes. */
+  /** Whether calls are generations on engines, with headers for their tokens and prefixes. */
   isGeneration: z.boolean(),
-  /** The longest time a caller is kept waiting, in milliseconds. */
+  /** Maximum time until a call is answered, in milliseconds. */
   timeoutMs: z.number().positive(),
-  /** Within which an answer, or a stream's first event, is on time, in milliseconds. */
+  /** Latency target of an answer, or of a stream's first event, in milliseconds. */
   targetMs: z.number().min(0),
-  /** The longest pause between two events that is on time, in milliseconds. */
+  /** Latency target between two events of a stream, in milliseconds. */
   gapTargetMs: z.number().min(0).optional(),
-  /** The rank among routes; 0 goes first. */
+  /** Priority among routes; 0 is the highest. */
   urgency: z.int().min(0),
-  /** On how many upstreams one call may run. */
+  /** Maximum number of upstreams on which one call may run. */
   maxRuns: z.int().min(1),
-  /** The regions whose upstreams may run its calls; nothing where all may. */
+  /** Regions whose upstreams may run its calls; `undefined` for all. */
   regions: z.array(z.string()).min(1).optional(),
   /** Whether calls need no key. */
   isPublic: z.boolean(),
   targets: z.array(routeTarget).min(1),
 });
 
-/** What is known of the engines of a service. */
+/** Properties of the engines of a service. */
 export const engineFacts = z.object({
-  /** Generations in one batch. */
+  /** Number of generations in one batch. */
   slots: z.int().min(1),
-  /** Memory for prompts and answers, in tokens. */
+  /** KV-cache memory for prompts and answers, in tokens. */
   memoryTokens: z.int().min(1),
-  /** Tokens in one event of a stream. */
+  /** Number of tokens in one event of a stream. */
   tokensPerEvent: z.int().min(1),
   canMove: z.boolean(),
   canBackUp: z.boolean(),
 });
 
-/** A service that routes send to. */
+/** A service to which routes send calls. */
 export const routedService = z.object({
   name: z.string(),
   healthPath: z.string(),
-  /** Connections that one of its upstreams takes from all hosts together. */
+  /** Maximum number of connections to one of its upstreams, from all hosts together. */
   connectionLimit: z.int().min(1),
-  /** The calls a second that one of its upstreams bears while it is cold, from all hosts together; nothing for no limit. */
+  /**
+   * Maximum calls per second to one of its upstreams while it is cold, from all hosts together; `undefined` for no
+   * limit.
+   */
   coldCallsPerS: z.number().positive().optional(),
   engine: engineFacts.optional(),
 });
 
-/** What a caller may send, and how long it may take. */
+/** Limits of the size and duration of callers' requests. */
 export const callerLimits = z.object({
   headerBytes: z.int().min(1),
   bodyBytes: z.int().min(0),
@@ -64,35 +67,35 @@
   idleTimeoutMs: z.int().min(1),
 });
 
-/** A team and the keys that its calls carry. */
+/** A team and the keys that authenticate its calls. */
 export const keyedTeam = z.object({
   name: z.string(),
   keys: z.array(z.string()),
-  /** Takes the place of the route's rank where it is given; 0 goes first. */
+  /** Overrides the route's priority if set; 0 is the highest. */
   urgency: z.int().min(0).optional(),
-  /** The regions whose upstreams may run its calls; nothing where all may. */
+  /** Regions whose upstreams may run its calls; `undefined` for all. */
   regions: z.array(z.string()).min(1).optional(),
 });
 
-/** Everything that an operator declares about routed traffic, under a version of the operator's choice. */
+/** The operator's complete configuration of routed traffic; the operator chooses its version number. */
 export const routedConfig = z.object({
   version: z.int().min(0),
   routes: z.array(route),
   services: z.array(routedService),
   limits: callerLimits,
-  /** Nothing when calls carry no keys at all. */
+  /** `undefined` if calls are not authenticated by keys. */
   teams: z.array(keyedTeam).optional(),
 });
 
-/** Where the calls of one host and path prefix go. */
+/** The services for calls with a host name and path prefix, and the rules for these calls. */
 export type Route = z.infer<typeof route>;
-/** A service that routes send to. */
+/** A service to which routes send calls. */
 export type RoutedService = z.infer<typeof routedService>;
-/** What is known of the engines of a service. */
+/** Properties of the engines of a service. */
 export type EngineFacts = z.infer<typeof engineFacts>;
-/** What a caller may send, and how long it may take. */
+/** Limits of the size and duration of callers' requests. */
 export type CallerLimits = z.infer<typeof callerLimits>;
 /** A team and its keys. */
 export type KeyedTeam = z.infer<typeof keyedTeam>;
-/** Everything that an operator declares about routed traffic. */
+/** The operator's complete configuration of routed traffic. */
 export type RoutedConfig = z.infer<typeof routedConfig>;
--- a/packages/schemas/src/status.ts
+++ b/packages/schemas/src/status.ts
@@ -5,7 +5,7 @@
 const voterStatus = z.object({
   daemonId: z.string(),
   match: z.int(),
-  /** How long ago the voter answered, in milliseconds. */
+  /** Time since the voter's last answer, in milliseconds. */
   silentMs: z.number(),
 });
 
@@ -18,13 +18,13 @@
 
 const zoneStatus = z.object({
   availabilityZone: z.string(),
-  /** How long ago the zone's relay was heard, in milliseconds; -1 for never. */
+  /** Time since the last heartbeat of the zone's relay, in milliseconds; -1 if there was none. */
   silentMs: z.number(),
   isInForce: z.boolean(),
   hosts: z.array(hostStatus),
 });
 
-/** What the leader tells operators. */
+/** The leader's status report for operators. */
 export const statusReport = z.object({
   leader: z.string(),
   term: z.int(),
@@ -42,5 +42,5 @@
   ),
 });
 
-/** What the leader tells operators. */
+/** The leader's status report for operators. */
 export type StatusReport = z.infer<typeof statusReport>;
--- a/packages/schemas/src/step-error.ts
+++ b/packages/schemas/src/step-error.ts
@@ -5,7 +5,7 @@
 import * as messageMap from './messages.js';
 import type * as outcomes from './outcome.js';
 
-/** Where an error arose and what it says. */
+/** Options of {@link StepError}: the message and the step at which the error arose. */
 export interface StepErrorOptions {
   readonly id: messageMap.MessageId;
   readonly step: string;
@@ -14,12 +14,12 @@
   readonly cause?: unknown;
 }
 
-/** Coerces whatever was thrown to an error. */
+/** Converts a thrown value to an `Error`. */
 export function toError(thrown: unknown): Error {
   return thrown instanceof Error ? thrown : new Error(String(thrown));
 }
 
-/** An error that carries the step and the peer at which it arose. */
+/** An error with the step and the peer at which it arose. */
 export class StepError extends verror.default {
   public readonly id: messageMap.MessageId;
 
@@ -32,7 +32,7 @@
   }
 }
 
-/** How a request is refused: the status, the outcome and when to come back. */
+/** Options of {@link Refusal}, such as the HTTP status, the outcome and the delay before a retry. */
 export interface RefusalOptions extends StepErrorOptions {
   readonly status: number;
   readonly outcome: outcomes.Outcome;
@@ -41,7 +41,7 @@
   readonly location?: string;
 }
 
-/** An error that a caller or an operator sees. */
+/** An error that is returned to a caller or an operator. */
 export class Refusal extends StepError {
   public readonly options: RefusalOptions;
 
@@ -50,7 +50,7 @@
     this.options = options;
   }
 
-  /** The one JSON shape of errors, which OpenAI clients understand. */
+  /** Returns the JSON body of the error, in the format of the OpenAI API. */
   public toJson(): ErrorBody {
     return {
       error: {
@@ -64,7 +64,7 @@
   }
 }
 
-/** The JSON shape of errors. */
+/** JSON body of errors. */
 export interface ErrorBody {
   readonly error: {
     readonly message: string;
--- a/packages/schemas/src/upstream.ts
+++ b/packages/schemas/src/upstream.ts
@@ -2,7 +2,7 @@
 
 import * as names from './names.js';
 
-/** A back end as the platform lists it; the list lags. */
+/** An upstream as listed by the platform; the list lags behind the actual state. */
 export const upstream = z.object({
   upstreamId: names.name,
   kind: z.enum(['engine', 'service']),
@@ -13,17 +13,17 @@
   checksFencing: z.boolean().default(false),
 });
 
-/** A back end as the platform lists it. */
+/** An upstream as listed by the platform. */
 export type Upstream = z.infer<typeof upstream>;
 
-/** The platform's answer to GET /v1/hosts. */
+/** Response of the platform to GET /v1/hosts. */
 export const platformList = z.object({ upstreams: z.array(upstream) });
 
-/** The load report of an engine, true at `at` and read later. */
+/** Load report of an engine, as of the time `at`; it is read later. */
 export const loadReport = z.object({
-  /** The engine's own clock, for the order of reports, in milliseconds. */
+  /** Time on the engine's clock, which orders its reports, in milliseconds. */
   at: z.number(),
-  /** How old the figures were when they were sent, in milliseconds. */
+  /** Age of the figures when they were sent, in milliseconds. */
   ageMs: z.number(),
   tokensTotal: z.int(),
   tokensUsed: z.int(),
@@ -32,20 +32,20 @@
   preemptions: z.int(),
   state: z.enum(['live', 'leaving']),
   models: z.array(z.object({ model: z.string(), version: z.string() })),
-  /** Changes of the prefix cache, asked for with `cacheSince`; late, and with gaps. */
+  /** Changes of the prefix cache, requested with `cacheSince`; they may be late and incomplete. */
   cache: z
     .object({
-      /** The number of the first of these events; a higher one than asked for is a gap. */
+      /** Number of the first of these events; if it is higher than requested, events are missing. */
       first: z.int(),
       events: z.array(z.object({ prefix: z.string(), isStored: z.boolean() })),
     })
     .optional(),
 });
 
-/** The load report of an engine. */
+/** Load report of an engine. */
 export type LoadReport = z.infer<typeof loadReport>;
 
-/** A fencing token: orders are compared by term, then by index. */
+/** A fencing token; orders are compared by term, then by index. */
 export const fencing = z.object({ term: z.int(), index: z.int() });
 
 /** A fencing token. */
