--- a/packages/peers/src/peer-client.ts
+++ b/packages/peers/src/peer-client.ts
@@ -175,8 +175,8 @@
   }
 
   /**
-   * Closes the connection if a call that started at `startedAt` is pending and nothing was received since. A middlebox may
-   * have lost its state for the connection, which then never recovers. The next call opens a new connection; until
+   * Closes the connection if a call that started at `startedAt` is pending and nothing was received since. A middlebox
+   * may have lost its state for the connection, which then never recovers. The next call opens a new connection; until
    * pings detect the failure, more calls would be lost.
    */
   private closeIfSilentSince(startedAt: number): void {
--- a/packages/telemetry/src/bounded-log.ts
+++ b/packages/telemetry/src/bounded-log.ts
@@ -3,8 +3,8 @@
 import type * as metricSinks from './metric-sink.js';
 
 /**
- * Sustained rate per kind of line. At the size this system is designed for, an entry host completes 8 calls a second and
- * writes two lines for each; a burst of ten times that rate is still logged in full.
+ * Sustained rate per kind of line. At the size this system is designed for, an entry host completes 8 calls a second
+ * and writes two lines for each; a burst of ten times that rate is still logged in full.
  */
 const LINES_PER_S = 80;
 
@@ -33,9 +33,9 @@
 }
 
 /**
- * A log with a rate limit per kind of line. Failures and successes of the same kind are limited separately, so that under
- * a burst of calls or of one fault neither suppresses the other and the collector's disk does not fill up. Dropped lines
- * are counted in a metric and reported in summary lines.
+ * A log with a rate limit per kind of line. Failures and successes of the same kind are limited separately, so that
+ * under a burst of calls or of one fault neither suppresses the other and the collector's disk does not fill up.
+ * Dropped lines are counted in a metric and reported in summary lines.
  */
 export class BoundedLog implements schemas.Log {
   private readonly buckets = new Map<string, Bucket>();
--- a/packages/telemetry/tests/bounded-log.test.ts
+++ b/packages/telemetry/tests/bounded-log.test.ts
@@ -21,8 +21,8 @@
 void tap.default.test(
   'a burst of one kind of line suppresses neither failures nor other kinds',
   async (t) => {
-    // 5,000 calls a second succeed for two seconds while a few fail. Guards against lost lines about failures, and against
-    // an unbounded volume of lines for the log collector.
+    // 5,000 calls a second succeed for two seconds while a few fail. Guards against lost lines about failures, and
+    // against an unbounded volume of lines for the log collector.
     const clock = new schemas.VirtualClock();
     const { lines, log, metrics } = createLog(clock);
     for (let i = 0; i < 10_000; i += 1) {
