--- a/packages/daemon/src/completion-body.ts
+++ b/packages/daemon/src/completion-body.ts
@@ -27,7 +27,7 @@
   })
   .refine((body) => body.prompt !== undefined || body.messages !== undefined, {
     path: ['messages'],
-    message: 'a prompt or messages are required',
+    message: 'a prompt or messages are needed',
   });
 
 /** The body of a completion request. */
