--- a/packages/gateway/tests/evacuations.test.ts
+++ b/packages/gateway/tests/evacuations.test.ts
@@ -258,11 +258,11 @@
   'no further request is sent for an operator who has disconnected',
   async (t) => {
     const clock = new schemas.VirtualClock();
-    const asked: string[] = [];
+    const contacted: string[] = [];
     const gone = new AbortController();
     const api = (coreId: string) => ({
       evacuate: async () => {
-        asked.push(coreId);
+        contacted.push(coreId);
         gone.abort(new Error('left'));
         return Promise.reject(new Error('not the leader'));
       },
@@ -285,7 +285,7 @@
       ),
       { message: 'left' },
     );
-    t.same(asked, ['c2']);
+    t.same(contacted, ['c2']);
   },
 );
 
