--- a/packages/routing/src/backup-engine-selector.ts
+++ b/packages/routing/src/backup-engine-selector.ts
@@ -8,8 +8,8 @@
 
 /**
  * Forecast share of an engine's memory up to which it keeps backups. A backup that fills the rest
- * would cause running generations to be preempted and the prefill of each to be repeated, 3,000
- * tokens each.
+ * would cause running generations to be preempted, each of which then repeats a prefill of 3,000
+ * tokens.
  */
 const BACKUP_LIMIT = 0.76;
 
--- a/packages/routing/src/cold-send-quota.ts
+++ b/packages/routing/src/cold-send-quota.ts
@@ -3,7 +3,7 @@
 import * as recentSends from './recent-sends.js';
 
 /**
- * Fraction of a cold upstream's rate that hosts share when they place calls without the leader. The
+ * Fraction of a cold upstream's rate that hosts share in fallback placement, without the leader. The
  * leader allocates the rest.
  */
 const SHARED_FRACTION = 0.4;
@@ -11,7 +11,7 @@
 /** Number of values of a 32-bit hash. */
 const HASH_VALUES = 2 ** 32;
 
-/** A cold upstream, as seen by a host that places calls without the leader. */
+/** A cold upstream, as seen by a host in fallback placement. */
 export interface ColdUpstream {
   readonly upstreamId: string;
   /** Calls per second that it sustains while it is cold, from all hosts together. */
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Upstreams are added and removed for as long as the host runs, so entries without a recent send
-   * are dropped.
+   * Drops entries without a recent send. Upstreams are added and removed for as long as the host
+   * runs, so the entries would accumulate.
    */
   private dropStale(now: number): void {
     this.sendsByUpstream.forEach((sends, upstreamId) => {
--- a/packages/routing/src/crash-ledger.ts
+++ b/packages/routing/src/crash-ledger.ts
@@ -219,7 +219,7 @@
     return { kind: 'go' };
   }
 
-  /** Adds to a permit whether another suspect runs on the process. */
+  /** Adds to a permit whether the suspect is the only one on the process. */
   public addIsolation(permit: Permit, digest: string): Permit {
     if (permit.kind !== 'go' && permit.kind !== 'there') {
       return permit;
@@ -250,7 +250,7 @@
   }
 
   /**
-   * Permits every call that is not quarantined, on a host without contact to a leader. The host
+   * Permits every call that is not quarantined, on a host without contact with a leader. The host
    * does not know the runs of other hosts, and if each host retried a quarantined call by itself,
    * the call would be sent as many times as there are hosts.
    */
--- a/packages/routing/src/engine-ledger.ts
+++ b/packages/routing/src/engine-ledger.ts
@@ -134,8 +134,9 @@
   }
 
   /**
-   * Selects the target engine for a generation whose engine is leaving; `undefined` if it no longer
-   * runs there. The limits for backups do not apply, since without a target engine the generation
+   * Selects the target engine for a generation whose engine is leaving, and records it as the engine
+   * of the backup. Returns `undefined` if the generation no longer runs on that engine or no engine
+   * has capacity. The limits for backups do not apply, since without a target engine the generation
    * is lost for certain. The placement limit does: beyond it, each long generation that was saved
    * caused the preemption of another one, 18 for 18 under heavy load. An engine that turns out to
    * have no capacity refuses and is then listed in `excluded`.
--- a/packages/routing/src/load-choice.ts
+++ b/packages/routing/src/load-choice.ts
@@ -1,6 +1,6 @@
 import type * as loads from './upstream-load.js';
 
-/** Load added to an upstream for each recent failure, as a share of its slots. */
+/** Load added to an upstream for each recent failure, as a share of its slots or memory. */
 const FAILURE_PENALTY = 0.5;
 
 /**
@@ -19,7 +19,7 @@
  */
 const SAME_ZONE_MEMORY_LIMIT = 1;
 
-/** Load added to an upstream that has just started. */
+/** Load added to an upstream that has just started, as a share of its slots or memory. */
 const COLD_PENALTY = 0.5;
 
 /** An upstream that could take a call. */
--- a/packages/routing/src/placement-spec.ts
+++ b/packages/routing/src/placement-spec.ts
@@ -37,14 +37,16 @@
   readonly fixedEngineId?: string | undefined;
   /** Set if it already runs there and is only reported, so that nothing is sent now. */
   readonly isUnderWay?: boolean | undefined;
+  /** Whether a KV-cache backup of it should be kept. */
   readonly wantsCopy: boolean;
   /** How long it has already run, in milliseconds. */
   readonly ranMs: number;
 }
 
-/** The engine on which a generation was placed, and the one that keeps its backup. */
+/** The result of placing a generation. */
 export interface Placement {
   readonly engineId: string;
+  /** The engine that keeps its KV-cache backup; `undefined` if none does. */
   readonly copyAt: string | undefined;
   /** Forecast share of the engine's memory, including this generation. */
   readonly share: number;
--- a/packages/routing/src/pool-ledger.ts
+++ b/packages/routing/src/pool-ledger.ts
@@ -100,7 +100,7 @@
     this.options.charge(facts.team, cost);
   }
 
-  /** Adds a generation that was granted by a former owner or by a daemon alone. */
+  /** Adds a generation that was granted by a former owner, or by a daemon without one. */
   public register(facts: types.RunningGeneration): void {
     const upstream = this.upstreams.get(facts.upstreamId);
     if (upstream === undefined || upstream.generations.has(facts.generation)) {
@@ -172,7 +172,8 @@
   }
 
   /**
-   * The message about an end may be lost; without this the generation would use capacity forever.
+   * Removes generations that their daemon no longer reports. The message about an end may be lost,
+   * and the generation would use capacity forever.
    */
   private removeUnreported(
     daemonId: string,
--- a/packages/routing/src/pool-owner.ts
+++ b/packages/routing/src/pool-owner.ts
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Adds a generation that was granted by a former owner or by a daemon alone. */
+  /** Adds a generation that was granted by a former owner, or by a daemon without one. */
   public register(facts: types.RunningGeneration): void {
     this.ledger.register(facts);
   }
--- a/packages/routing/src/prefill-backlog.ts
+++ b/packages/routing/src/prefill-backlog.ts
@@ -112,7 +112,10 @@
     return head === callId;
   }
 
-  /** A host that crashed or was cut off reports nothing; its prompts must not block the engine. */
+  /**
+   * Drops the prompt at the head if its prefill has timed out. A host that crashed or is partitioned
+   * reports nothing, and its prompts must not block the engine.
+   */
   private dropTimedOut(now: number): void {
     const [entry] = this.pending.entries();
     if (entry === undefined) {
--- a/packages/routing/src/run-registry.ts
+++ b/packages/routing/src/run-registry.ts
@@ -101,7 +101,10 @@
     occupancy?.listBackedUp().forEach(({ spec }) => this.setBackup(spec.callId, undefined));
   }
 
-  /** A host that crashed did not release its generations; they must not use capacity forever. */
+  /**
+   * Drops generations long after their latest possible end. A host that crashed did not release its
+   * generations, and they must not use capacity forever.
+   */
   public dropOverdue(now: number): void {
     if (now - this.checkedAt < OVERDUE_CHECK_MS) {
       return;
--- a/packages/routing/src/upstream-ledger.ts
+++ b/packages/routing/src/upstream-ledger.ts
@@ -74,7 +74,7 @@
 
   /**
    * Applies a report. It describes a past moment, so only the excess over the highest value of
-   * this ledger since then counts: work of daemons that decided alone, or of a former owner.
+   * this ledger since then counts: work granted by daemons without a pool owner, or by a former owner.
    */
   public applyReport(report: schemas.LoadReport, now: number): void {
     if (this.report !== undefined && report.at <= this.report.at) {
--- a/packages/routing/tests/crash-ledger.test.ts
+++ b/packages/routing/tests/crash-ledger.test.ts
@@ -143,7 +143,7 @@
 // Guards against losing one more upstream to a faulty call whose permit came from a leader that has
 // lost its lead when the run ends.
 void tap.default.test(
-  'what a permit said about a run counts if its trial is unknown',
+  'whether a run was alone is taken from its permit if the ledger has no trial of it',
   async (t) => {
     const ledger = new crashLedgers.CrashLedger();
     ledger.recordProcessEnd('bad', createEnd('p1'), 0);
--- a/packages/routing/tests/placement-queue.test.ts
+++ b/packages/routing/tests/placement-queue.test.ts
@@ -112,10 +112,10 @@
     callId: string,
     dueAt: number,
     more: Partial<routing.PlacementSpec> = {},
-    rank = 1,
-  ) => queue.add({ spec: createSpec(callId, more), dueAt, priority: rank, expiresAt: 5_000 });
+    priority = 1,
+  ) => queue.add({ spec: createSpec(callId, more), dueAt, priority, expiresAt: 5_000 });
   add('late', 300);
-  add('late, high rank', 350, {}, 0);
+  add('late, high priority', 350, {}, 0);
   add('later', 2_500);
   add('long', 2_000, { promptTokens: 6_000 });
   add('short', 2_000, { promptTokens: 1_000 });
@@ -124,7 +124,7 @@
   const order = queue.dispatch(1_000).map(({ queued }) => queued.spec.callId);
   t.same(
     order,
-    ['long', 'short', 'later', 'late, high rank', 'late'],
+    ['long', 'short', 'later', 'late, high priority', 'late'],
     'one that is already late delays nobody',
   );
 });
