--- a/packages/consensus/src/entry-log.ts
+++ b/packages/consensus/src/entry-log.ts
@@ -1,18 +1,19 @@
 import * as quorums from './quorum.js';
 import type * as types from './types.js';
-import type * as wal from './wal.js';
+import type * as wals from './wal.js';
 
 /** The log entries that a voter keeps in memory, after its last snapshot. */
 export class EntryLog {
   private entries: types.Entry[];
   private base: { index: number; term: number; seating: types.VoterSet };
 
-  public constructor(recovered: wal.RecoveredState, genesis: readonly types.VoterSlot[]) {
+  public constructor(recovered: wals.RecoveredState, initialVoters: readonly types.VoterSlot[]) {
     const { snapshot } = recovered;
     this.base = {
       index: snapshot?.lastIndex ?? 0,
       term: snapshot?.lastTerm ?? 0,
-      seating: snapshot === undefined ? { seats: [...genesis] } : getSnapshotVoterSet(snapshot),
+      seating:
+        snapshot === undefined ? { seats: [...initialVoters] } : getSnapshotVoterSet(snapshot),
     };
     this.entries = recovered.entries;
   }
@@ -102,7 +103,7 @@
   }
 
   /** Replaces the whole log by a snapshot from the leader. */
-  public resetTo(snapshot: wal.Snapshot): void {
+  public resetTo(snapshot: wals.Snapshot): void {
     this.entries = [];
     this.base = {
       index: snapshot.lastIndex,
@@ -112,7 +113,7 @@
   }
 }
 
-function getSnapshotVoterSet({ voters, formerVoters }: wal.Snapshot): types.VoterSet {
+function getSnapshotVoterSet({ voters, formerVoters }: wals.Snapshot): types.VoterSet {
   return formerVoters === undefined
     ? { seats: [...voters] }
     : { seats: [...voters], former: [...formerVoters] };
--- a/packages/consensus/src/replicator.ts
+++ b/packages/consensus/src/replicator.ts
@@ -11,8 +11,8 @@
   /** When the last acknowledged request was sent, on the leader's clock. */
   public ackedAt = -Infinity;
   /**
-   * When the last request was sent after which the host had everything that was committed at that time, on the leader's
-   * clock.
+   * When the last request was sent whose response showed that the host had all entries that were committed at the time
+   * of sending, on the leader's clock.
    */
   public caughtUpAt = -Infinity;
   private nextIndex: number;
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -1,7 +1,7 @@
 import * as schemas from '@bramleyridge/schemas';
 
 import * as entryLogs from './entry-log.js';
-import type * as genesisFile from './genesis.js';
+import type * as geneses from './genesis.js';
 import * as leaderships from './leadership.js';
 import type * as types from './types.js';
 import type * as wals from './wal.js';
@@ -15,7 +15,7 @@
 /** Dependencies and settings of a voter. */
 export interface VoterOptions {
   readonly daemonId: string;
-  readonly genesis: genesisFile.Genesis;
+  readonly genesis: geneses.Genesis;
   readonly wal: wals.Wal;
   readonly machine: types.StateMachine;
   readonly transport: types.Transport;
@@ -95,7 +95,7 @@
     if (this.stopped || !this.hasSlot() || !this.isUpToDate(req)) {
       return refuse();
     }
-    // No vote against a leader that is active: it may hold a lease.
+    // While a leader is active it may hold a lease, so no other candidate gets a vote.
     if (this.leadership !== undefined || this.isLeaderActive()) {
       return refuse();
     }
--- a/packages/members/src/member-table.ts
+++ b/packages/members/src/member-table.ts
@@ -2,7 +2,7 @@
 
 import * as memberLifecycle from './member-lifecycle.js';
 
-/** After how many multiples of `suspectMs` without a heartbeat a member is dropped. */
+/** Multiple of `suspectMs` after which a member without a heartbeat is dropped. */
 const DROP_FACTOR = 3;
 
 interface MemberRecord {
--- a/packages/placement/src/order-sender.ts
+++ b/packages/placement/src/order-sender.ts
@@ -68,14 +68,14 @@
     steps: readonly desiredStates.ReconcileStep[],
     upstreams: ReadonlyMap<string, schemas.Upstream>,
   ): Promise<string[]> {
-    const taken: string[] = [];
+    const accepted: string[] = [];
     for (const step of steps) {
       const upstream = upstreams.get(step.slot.upstreamId);
       if (upstream !== undefined && (await this.sendOne(step, upstream))) {
-        taken.push(upstream.upstreamId);
+        accepted.push(upstream.upstreamId);
       }
     }
-    return taken;
+    return accepted;
   }
 
   private async sendOne(
--- a/packages/requests/src/chunk-reader.ts
+++ b/packages/requests/src/chunk-reader.ts
@@ -1,6 +1,6 @@
 import type * as stream from 'node:stream';
 
-/** The most buffered chunks; beyond it the stream is paused, so that a slow caller takes no unlimited memory. */
+/** Maximum number of buffered chunks; at this number the stream is paused, so that a slow caller takes no unlimited memory. */
 const MAX_BUFFERED_CHUNKS = 16;
 
 /**
--- a/packages/requests/src/claim-acceptor.ts
+++ b/packages/requests/src/claim-acceptor.ts
@@ -5,7 +5,7 @@
 /** How long an acceptor keeps a claim, in milliseconds. Operators publish this period to callers. */
 export const CLAIM_RETENTION_MS = 3_600_000;
 
-/** The most claims in one page of a recovery. */
+/** Maximum number of claims in one page of a recovery. */
 const PAGE_RECORDS = 2_000;
 
 /** The pause before another attempt to recover from the other acceptors, in milliseconds. */
--- a/packages/requests/src/claim-proposer.ts
+++ b/packages/requests/src/claim-proposer.ts
@@ -2,7 +2,7 @@
 
 import * as types from './claim-types.js';
 
-/** The most rounds per claim; a claim that other proposers preempt in all of them is refused. */
+/** Maximum number of rounds per claim; a claim that other proposers preempt in all of them is refused. */
 const MAX_ROUNDS = 12;
 
 /**
--- a/packages/requests/src/retry-budget.ts
+++ b/packages/requests/src/retry-budget.ts
@@ -4,7 +4,7 @@
 export interface RetryAllowance {
   /** Retries that each request adds; a ratio below 1 keeps failures from multiplying the load. */
   readonly perRequest: number;
-  /** The most retries that accumulate. */
+  /** Maximum number of retries that accumulate. */
   readonly maxSaved: number;
   /** Retries added per second, independent of requests. */
   readonly perSecond: number;
--- a/packages/requests/src/retry-grant-limiter.ts
+++ b/packages/requests/src/retry-grant-limiter.ts
@@ -1,8 +1,8 @@
 /** The limits on retries that the leader grants to hosts, over a sliding window. */
 export interface RetryGrantLimits {
-  /** The most grants in one window. */
+  /** Maximum number of grants in one window. */
   readonly maxGrants: number;
-  /** The most grants while those of a previous leader may still be in the window. */
+  /** Maximum number of grants while those of a previous leader may still be in the window. */
   readonly maxGrantsForNewLeader: number;
   readonly windowMs: number;
 }
@@ -15,9 +15,9 @@
 
 /**
  * Grants retries to hosts that have used up their own share. Retries are needed in bursts, at the one or two hosts
- * whose callers were on an engine that is lost: an equal share for each of eight hosts allowed these four in ten
- * seconds, while most of the deployment's 70 stayed unused. The leader counts all grants, so the limit holds for the
- * whole deployment.
+ * whose callers were on an engine that is lost. Equal shares for eight hosts allowed those hosts four retries in ten
+ * seconds, while most of the 70 for the whole deployment stayed unused. The leader counts all grants, so the limit
+ * holds for the whole deployment.
  */
 export class RetryGrantLimiter {
   private grantedAt: number[] = [];
--- a/packages/requests/src/run-attempts.ts
+++ b/packages/requests/src/run-attempts.ts
@@ -3,7 +3,7 @@
 import type * as retryBudgets from './retry-budget.js';
 import * as upstreamErrors from './upstream-error.js';
 
-/** The most sends per call, including those that an upstream refused; bounds the load that one failing call adds. */
+/** Maximum number of sends per call, including those that an upstream refused; bounds the load that one failing call adds. */
 const MAX_SENDS = 4;
 
 /** The `retry-after` of a call that is refused because upstreams failed, in seconds. */
@@ -13,7 +13,7 @@
 export interface AttemptRules {
   /** Whether the call may run more than once. */
   readonly isRepeatable: boolean;
-  /** The most attempts that may have run the call. */
+  /** Maximum number of attempts that may have run the call. */
   readonly maxRuns: number;
   readonly budget: retryBudgets.RetrySource;
   /** Aborted when the response is no longer needed. */
--- a/packages/requests/src/upstream-client.ts
+++ b/packages/requests/src/upstream-client.ts
@@ -56,7 +56,7 @@
 /** The limits of connections to upstreams. */
 export interface UpstreamClientLimits {
   readonly connectMs: number;
-  /** The most pooled connections to one upstream; unlimited by default. */
+  /** Maximum number of pooled connections to one upstream; unlimited by default. */
   readonly connections?: number;
 }
 
