--- a/packages/consensus/src/membership-change.ts
+++ b/packages/consensus/src/membership-change.ts
@@ -5,8 +5,9 @@
 import type * as voters from './voter.js';
 
 /**
- * How long a new voter may be unresponsive before the change is abandoned, in election timeouts. With less a single lost
- * message, which costs a request deadline and a heartbeat interval, could abandon it.
+ * How long a new voter may be unresponsive before the change is abandoned, in election timeouts. With one timeout of
+ * 600 ms, a single lost message could abandon it: it costs the request deadline of 500 ms and a heartbeat interval of
+ * 200 ms.
  */
 const UNRESPONSIVE_ELECTIONS = 2;
 
--- a/packages/requests/src/chunk-reader.ts
+++ b/packages/requests/src/chunk-reader.ts
@@ -1,6 +1,6 @@
 import type * as stream from 'node:stream';
 
-/** Maximum number of buffered chunks; at this number the stream is paused, so that a slow caller takes no unlimited memory. */
+/** Number of buffered chunks at which the stream is paused, so that a slow caller takes no unlimited memory. */
 const MAX_BUFFERED_CHUNKS = 16;
 
 /**
--- a/packages/requests/src/run-attempts.ts
+++ b/packages/requests/src/run-attempts.ts
@@ -3,7 +3,10 @@
 import type * as retryBudgets from './retry-budget.js';
 import * as upstreamErrors from './upstream-error.js';
 
-/** Maximum number of sends per call, including those that an upstream refused; bounds the load that one failing call adds. */
+/**
+ * Maximum number of sends per call, including those that an upstream refused; bounds the load that one failing call
+ * adds.
+ */
 const MAX_SENDS = 4;
 
 /** The `retry-after` of a call that is refused because upstreams failed, in seconds. */
