--- a/packages/bench/src/deployment.ts
+++ b/packages/bench/src/deployment.ts
@@ -41,7 +41,7 @@
   public upstreams: schemas.Upstream[] = [];
   public platformUrl = '';
   private fakesProcess: children.Child | undefined;
-  private reservedPorts: fakes.HeldPorts | undefined;
+  private reservedPorts: fakes.ReservedPorts | undefined;
 
   public constructor(private readonly shape: DeploymentShape) {}
 
@@ -173,7 +173,7 @@
 
   private async createEntries(): Promise<schemas.DaemonEntry[]> {
     const { daemonsPerZone, voters, zones } = this.shape;
-    this.reservedPorts = await fakes.HeldPorts.take(2 * zones.length * daemonsPerZone);
+    this.reservedPorts = await fakes.ReservedPorts.take(2 * zones.length * daemonsPerZone);
     const ports = this.reservedPorts.list();
     return Array.from({ length: daemonsPerZone }, (_, row) =>
       zones.map((availabilityZone, column) => {
@@ -181,7 +181,7 @@
         return {
           daemonId: `${availabilityZone}-${row + 1}`,
           availabilityZone,
-          host: fakes.HELD_PORT_HOST,
+          host: fakes.RESERVED_PORT_HOST,
           peerPort: ports[2 * index]!,
           callerPort: ports[2 * index + 1]!,
           voter: index < voters,
--- a/packages/cli/src/bramleyctl.ts
+++ b/packages/cli/src/bramleyctl.ts
@@ -114,16 +114,16 @@
       'drain',
       'stop the daemon at --url after its running requests have ended',
       {},
-      (args) => commands.tell(getClient(args), getOutput(args), '/drain'),
+      (args) => commands.sendCommand(getClient(args), getOutput(args), '/drain'),
     )
     .command(
       'refound-claims',
       'start a new claim group without any recorded keys; read the operators’ page first',
       {},
-      (args) => commands.tell(getClient(args), getOutput(args), '/claims/refound'),
+      (args) => commands.sendCommand(getClient(args), getOutput(args), '/claims/refound'),
     )
     .command('reload-keys', 'make the daemon at --url reload its keys', {}, (args) =>
-      commands.tell(getClient(args), getOutput(args), '/keys/reload'),
+      commands.sendCommand(getClient(args), getOutput(args), '/keys/reload'),
     )
     .command(
       'schema <what>',
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -204,7 +204,7 @@
 }
 
 /** Sends a daemon a command whose response only acknowledges it. */
-export async function tell(
+export async function sendCommand(
   client: clients.OperatorClient,
   output: Output,
   path: '/drain' | '/keys/reload' | '/claims/refound',
--- a/packages/consensus/tests/support/cluster.ts
+++ b/packages/consensus/tests/support/cluster.ts
@@ -62,7 +62,7 @@
   public start(daemonId: string): void {
     const files = this.nodes.get(daemonId)?.files.reopen() ?? new fakes.MemoryFiles();
     if (this.isSyncBroken) {
-      files.breakSync();
+      files.disableSync();
     }
     const node: Node = {
       daemonId,
--- a/packages/daemon/src/choose-claim-acceptors.ts
+++ b/packages/daemon/src/choose-claim-acceptors.ts
@@ -13,8 +13,8 @@
  * new one copies its state from the others, which must still be present.
  */
 export function chooseClaimAcceptors(
-  acceptors: readonly schemas.ClaimSeat[],
-  live: readonly schemas.Beat[],
+  acceptors: readonly schemas.ClaimAcceptorSlot[],
+  live: readonly schemas.Heartbeat[],
   allowed: readonly string[],
 ): string[] | undefined {
   const usable = live.filter((host) => !host.isLeaving);
@@ -47,8 +47,8 @@
 
 /** The input for choosing the next claim acceptors. */
 export interface ClaimAcceptorInput {
-  readonly acceptors: readonly schemas.ClaimSeat[];
-  readonly live: readonly schemas.Beat[];
+  readonly acceptors: readonly schemas.ClaimAcceptorSlot[];
+  readonly live: readonly schemas.Heartbeat[];
   /** Daemons that may run an acceptor; any daemon when empty. */
   readonly allowed: readonly string[];
   /**
@@ -84,11 +84,11 @@
 
 /** Orders the daemons by taking one daemon of each zone in turn. */
 function interleaveZones(
-  live: readonly schemas.Beat[],
+  live: readonly schemas.Heartbeat[],
   allowed: readonly string[],
-): schemas.Beat[] {
+): schemas.Heartbeat[] {
   const eligible = live.filter((host) => allowed.length === 0 || allowed.includes(host.daemonId));
-  const byZone = new Map<string, schemas.Beat[]>();
+  const byZone = new Map<string, schemas.Heartbeat[]>();
   [...eligible]
     .sort((a, b) => (a.daemonId < b.daemonId ? -1 : 1))
     .forEach((host) => {
--- a/packages/daemon/src/completion-handler.ts
+++ b/packages/daemon/src/completion-handler.ts
@@ -48,7 +48,7 @@
     const raw = await requests.readBody(req, cfg.limits);
     const body = requests.parseJson(completionBodies.completionBody, raw);
     const job = completionJobs.createJob(this.context, req, team, body, raw, path);
-    budget.noteRequest();
+    budget.recordRequest();
     if (job.key !== undefined && (await this.joinClaimedCall(job, res))) {
       return;
     }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -199,7 +199,7 @@
     return `${voter === undefined ? 'daemon' : controlRole}${this.view.isRelay() ? '+relay' : ''}`;
   }
 
-  private createHeartbeat(): schemas.Beat {
+  private createHeartbeat(): schemas.Heartbeat {
     const { daemonId, availabilityZone, host, peerPort, callerPort } = this.cfg;
     return {
       daemonId,
--- a/packages/daemon/src/leader-tasks.ts
+++ b/packages/daemon/src/leader-tasks.ts
@@ -275,7 +275,7 @@
   }
 
   /** Lists the live daemons that are named in the settings, which every other daemon can find. */
-  private listLive(): schemas.Beat[] {
+  private listLive(): schemas.Heartbeat[] {
     const { cfg } = this.options;
     const configured = new Set([cfg.daemonId, ...cfg.peers.map((peer) => peer.daemonId)]);
     const live = this.zones.list().flatMap((zone) => zone.hosts);
--- a/packages/daemon/src/metrics.ts
+++ b/packages/daemon/src/metrics.ts
@@ -27,8 +27,8 @@
   }
 
   /** Registers a gauge that is read and sent periodically. */
-  public watch(id: telemetry.MetricId, read: () => number): void {
-    this.sink.watch(id, read);
+  public registerGauge(id: telemetry.MetricId, read: () => number): void {
+    this.sink.registerGauge(id, read);
   }
 
   /** Sends buffered metrics and closes the socket. */
--- a/packages/daemon/src/peer-mesh.ts
+++ b/packages/daemon/src/peer-mesh.ts
@@ -8,7 +8,7 @@
 export type PeerApi = peers.PeerApi<peerRouters.PeerRouter>;
 
 /** The address at which a peer listens. */
-export type PeerAddress = peers.PeerPlace;
+export type PeerAddress = peers.PeerAddress;
 
 /** The links to other daemons, addressed by daemon id. */
 export class PeerMesh {
--- a/packages/daemon/src/pool-client.ts
+++ b/packages/daemon/src/pool-client.ts
@@ -211,7 +211,7 @@
       .map((item) => ({
         upstreamId: item.upstreamId,
         outstanding: this.countActiveOn(item.upstreamId),
-        reportedShare: this.countActiveOn(item.upstreamId) / MAX_FALLBACK_GENERATIONS,
+        estimatedShare: this.countActiveOn(item.upstreamId) / MAX_FALLBACK_GENERATIONS,
       }));
     const chosen = routing.chooseFallbackUpstream(candidates, random);
     const upstream = chosen === undefined ? undefined : this.findUpstream(chosen.upstreamId);
@@ -224,7 +224,7 @@
       version: intent?.version ?? '',
       reason: 'two-choices',
       queuedMs: 0,
-      pressure: chosen?.reportedShare ?? 0,
+      pressure: chosen?.estimatedShare ?? 0,
     };
   }
 
--- a/packages/daemon/src/service-call-handler.ts
+++ b/packages/daemon/src/service-call-handler.ts
@@ -38,7 +38,7 @@
     access.checkZoneAllowed(team, `/services/${name}${path}`);
     const service = this.findService(name);
     const body = await requests.readBody(req, cfg.limits);
-    budget.noteRequest();
+    budget.recordRequest();
     const job = createJob(req, team, service, path, body);
     const answer = (await this.joinClaimedCall(job)) ?? (await this.run(job));
     res.writeHead(answer.status, {
@@ -49,7 +49,7 @@
     res.end(answer.body);
   }
 
-  private async run(job: Job): Promise<requests.KeptAnswer> {
+  private async run(job: Job): Promise<requests.StoredResponse> {
     const { budget } = this.context;
     const { isRepeatable } = job.call;
     return requests.runAttempts(
@@ -58,7 +58,7 @@
         choose: () => this.choose(job),
         attempt: (upstream) => this.attempt(job, upstream),
         isFailure: () => false,
-        noteFailure: (upstream) => job.excluded.add(upstream.upstreamId),
+        recordFailure: (upstream) => job.excluded.add(upstream.upstreamId),
       },
     );
   }
@@ -67,7 +67,7 @@
   private async attempt(
     job: Job,
     upstream: schemas.Upstream,
-  ): Promise<requests.KeptAnswer | undefined> {
+  ): Promise<requests.StoredResponse | undefined> {
     const { calls, services } = this.context;
     const call = this.createCall();
     if (job.key !== undefined && !(await this.claim(job, call, upstream))) {
@@ -118,7 +118,7 @@
    * Resolves to the answer of the call that holds the key of this request; undefined when the key
    * is free.
    */
-  private async joinClaimedCall(job: Job): Promise<requests.KeptAnswer | undefined> {
+  private async joinClaimedCall(job: Job): Promise<requests.StoredResponse | undefined> {
     const { claims } = this.context;
     while (job.key !== undefined) {
       const key = claims.createKey(job.team.name, job.key, job.attempt);
--- a/packages/daemon/tests/choose-claim-acceptors.test.ts
+++ b/packages/daemon/tests/choose-claim-acceptors.test.ts
@@ -4,7 +4,7 @@
 import * as claimAcceptors from '../src/choose-claim-acceptors.js';
 
 /** Creates a daemon's heartbeat; the first letter of its id is its zone. */
-function createHeartbeat(daemonId: string): schemas.Beat {
+function createHeartbeat(daemonId: string): schemas.Heartbeat {
   return {
     daemonId,
     incarnation: 1,
@@ -24,7 +24,7 @@
  * copying, and missing for one that does not answer.
  */
 function choose(
-  acceptors: readonly schemas.ClaimSeat[],
+  acceptors: readonly schemas.ClaimAcceptorSlot[],
   live: readonly string[],
   answers: Readonly<Record<string, boolean>>,
 ): Promise<string[] | undefined> {
--- a/packages/daemon/tests/support/small-deployment.ts
+++ b/packages/daemon/tests/support/small-deployment.ts
@@ -57,7 +57,7 @@
   public readonly platform = new fakes.FakePlatform(LIST_LAG_MS);
   public upstreams: schemas.Upstream[] = [];
   private folder = '';
-  private heldPorts: fakes.HeldPorts | undefined;
+  private heldPorts: fakes.ReservedPorts | undefined;
 
   public constructor(
     private readonly zones: readonly string[],
@@ -293,14 +293,14 @@
 
   private async createEntries(): Promise<schemas.DaemonEntry[]> {
     const count = this.zones.length * this.daemonsPerZone;
-    this.heldPorts = await fakes.HeldPorts.take(2 * count);
+    this.heldPorts = await fakes.ReservedPorts.take(2 * count);
     const ports = this.heldPorts.list();
     return Array.from({ length: count }, (_, i) => {
       const availabilityZone = this.zones[i % this.zones.length]!;
       return {
         daemonId: `${availabilityZone}-${Math.floor(i / this.zones.length) + 1}`,
         availabilityZone,
-        host: fakes.HELD_PORT_HOST,
+        host: fakes.RESERVED_PORT_HOST,
         peerPort: ports[2 * i]!,
         callerPort: ports[2 * i + 1]!,
         voter: i < 3,
--- a/packages/fakes/src/fake-engine.ts
+++ b/packages/fakes/src/fake-engine.ts
@@ -217,7 +217,7 @@
       this.writePieces(res, this.faults.doubles ? text + text : text);
     };
     const keepAliveTimer = setInterval(() => write(': alive\n\n'), KEEP_ALIVE_INTERVAL_MS);
-    const unsubscribe = generation.follow(from, write, () => {
+    const unsubscribe = generation.subscribe(from, write, () => {
       clearInterval(keepAliveTimer);
       if (!isSilenced()) {
         res.end();
--- a/packages/fakes/src/fake-generation.ts
+++ b/packages/fakes/src/fake-generation.ts
@@ -46,7 +46,7 @@
   }
 
   /** Writes the events from an offset on as they are produced, until the end; returns a function that stops it. */
-  public follow(from: number, write: (text: string) => void, close: () => void): () => void {
+  public subscribe(from: number, write: (text: string) => void, close: () => void): () => void {
     let next = from;
     const send = () => {
       let text = '';
--- a/packages/fakes/src/index.ts
+++ b/packages/fakes/src/index.ts
@@ -5,6 +5,6 @@
 export * from './fake-platform.js';
 export * from './fake-server.js';
 export * from './fake-service.js';
-export * from './held-ports.js';
+export * from './reserved-ports.js';
 export * from './memory-files.js';
 export * from './token-text.js';
--- a/packages/fakes/src/memory-files.ts
+++ b/packages/fakes/src/memory-files.ts
@@ -27,7 +27,7 @@
   }
 
   /** Makes `sync` do nothing, to prove that the checks detect lost writes. */
-  public breakSync(): void {
+  public disableSync(): void {
     this.isSyncing = false;
   }
 
--- a/packages/fakes/src/held-ports.ts
+++ b/packages/fakes/src/reserved-ports.ts
@@ -7,19 +7,19 @@
  * Address on which reserved ports are used. Outgoing loopback connections use the other address as their source, so
  * their ephemeral ports never take one of these.
  */
-export const HELD_PORT_HOST = '127.0.0.2';
+export const RESERVED_PORT_HOST = '127.0.0.2';
 
 /**
  * Port numbers reserved for a test's processes. Settings must name ports before anything listens on them. A port that
  * was only found free and closed again may be assigned to another process, and the start then fails with `EADDRINUSE`.
  * The number is therefore kept bound on one loopback address and used on another one.
  */
-export class HeldPorts {
+export class ReservedPorts {
   private constructor(private readonly servers: readonly net.Server[]) {}
 
   /** Reserves `count` ports chosen by the operating system. */
-  public static async take(count: number): Promise<HeldPorts> {
-    return new HeldPorts(await Promise.all(Array.from({ length: count }, listen)));
+  public static async take(count: number): Promise<ReservedPorts> {
+    return new ReservedPorts(await Promise.all(Array.from({ length: count }, listen)));
   }
 
   /** Returns the port numbers. */
--- a/packages/gateway/src/core-host.ts
+++ b/packages/gateway/src/core-host.ts
@@ -137,7 +137,7 @@
       isEvacuated: (zone) => this.group.evacuations.has(zone),
       getEvacuationRevision: () => this.group.evacuations.get().revision,
       coldBounds: settings.bounds,
-      retryLimiter: {
+      retryGrantLimits: {
         maxGrants: Math.floor(settings.bounds.retrySlack * retryShares.GRANTED_SHARE),
         maxGrantsForNewLeader: Math.floor(
           settings.bounds.retrySlack * retryShares.FIRST_WINDOW_GRANTED_SHARE,
@@ -175,14 +175,17 @@
 
   private registerGauges(): void {
     const { metrics } = this.options;
-    metrics.watch('isLeading', () => Number(this.group.isLeading()));
-    metrics.watch('term', () => this.group.voter?.term ?? 0);
-    metrics.watch('seats', () => this.group.voter?.entries.getVoters().length ?? 0);
-    metrics.watch('seatsSilent', () => this.findLeadership()?.listLaggingVoters().length ?? -1);
-    metrics.watch('lossesBorne', () => this.findLeadership()?.countTolerableLosses() ?? -1);
-    metrics.watch('zonesEvacuated', () => this.group.evacuations.get().zones.length);
-    metrics.watch('entryHosts', () => this.entryRegistry.count());
-    metrics.watch('configurationVersion', () => this.group.state.get()?.version ?? -1);
+    metrics.registerGauge('isLeading', () => Number(this.group.isLeading()));
+    metrics.registerGauge('term', () => this.group.voter?.term ?? 0);
+    metrics.registerGauge('seats', () => this.group.voter?.entries.getVoters().length ?? 0);
+    metrics.registerGauge(
+      'seatsSilent',
+      () => this.findLeadership()?.listLaggingVoters().length ?? -1,
+    );
+    metrics.registerGauge('lossesBorne', () => this.findLeadership()?.countTolerableLosses() ?? -1);
+    metrics.registerGauge('zonesEvacuated', () => this.group.evacuations.get().zones.length);
+    metrics.registerGauge('entryHosts', () => this.entryRegistry.count());
+    metrics.registerGauge('configurationVersion', () => this.group.state.get()?.version ?? -1);
   }
 
   private findLeadership(): consensus.Leadership | undefined {
--- a/packages/gateway/src/entry-host-registry.ts
+++ b/packages/gateway/src/entry-host-registry.ts
@@ -10,7 +10,7 @@
   public constructor(private readonly clock: schemas.Clock) {}
 
   /** Records a poll. */
-  public recordRequest(hostId: string): void {
+  public recordPoll(hostId: string): void {
     this.polledAt.set(hostId, this.clock.now());
   }
 
--- a/packages/gateway/src/entry-host.ts
+++ b/packages/gateway/src/entry-host.ts
@@ -229,11 +229,11 @@
 
   private registerGauges(): void {
     const { metrics } = this.options;
-    metrics.watch('activeCalls', () => this.drain.getActive());
-    metrics.watch('configurationVersion', () => this.store.getVersion());
-    metrics.watch('listAgeMs', () => this.directory.getAgeMs());
-    metrics.watch('zonesEvacuated', () => this.evacuations.get().zones.length);
-    metrics.watch('upstreamsLive', () => this.directory.countLive());
+    metrics.registerGauge('activeCalls', () => this.drain.getActive());
+    metrics.registerGauge('configurationVersion', () => this.store.getVersion());
+    metrics.registerGauge('listAgeMs', () => this.directory.getAgeMs());
+    metrics.registerGauge('zonesEvacuated', () => this.evacuations.get().zones.length);
+    metrics.registerGauge('upstreamsLive', () => this.directory.countLive());
   }
 
   private serve(req: http.IncomingMessage, res: http.ServerResponse): void {
--- a/packages/gateway/src/entry-update-service.ts
+++ b/packages/gateway/src/entry-update-service.ts
@@ -57,7 +57,7 @@
   /** Answers an entry host's poll: at once if there are updates, otherwise when its wait is over. */
   public async answer(req: procedures.UpdatesReq): Promise<procedures.UpdatesRes> {
     const { clock, entryRegistry, group, upstreamList, suspects } = this.options;
-    entryRegistry.recordRequest(req.hostId);
+    entryRegistry.recordPoll(req.hostId);
     const end = clock.now() + req.waitMs;
     const wasLeading = group.isLeading();
     // An entry host that waited on a former leader would neither look for the new one nor receive updates on suspects.
--- a/packages/gateway/src/placement-service.ts
+++ b/packages/gateway/src/placement-service.ts
@@ -26,7 +26,7 @@
   /** Multiple of its declared rate that a cold upstream tolerates, and additional calls per second. */
   readonly coldBounds: { readonly coldOverage: number; readonly coldSlack: number };
   /** Limits of the retries that may be granted for one service. */
-  readonly retryLimiter: requests.RetryGrantLimits;
+  readonly retryGrantLimits: requests.RetryGrantLimits;
 }
 
 interface WaitingPlacement extends routing.QueuedPlacement {
@@ -157,7 +157,8 @@
   /** Grants a retry for a service if the limits allow it. */
   public grantRetry(service: string, grantor: requests.RetryGrantor): boolean {
     const limiter =
-      this.retryLimiters.get(service) ?? new requests.RetryGrantLimiter(this.options.retryLimiter);
+      this.retryLimiters.get(service) ??
+      new requests.RetryGrantLimiter(this.options.retryGrantLimits);
     this.retryLimiters.set(service, limiter);
     return limiter.grant(grantor, this.options.clock.now());
   }
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -89,7 +89,7 @@
   readCall(headers: http.IncomingHttpHeaders): CallFacts;
   createHeaders(call: CallFacts, attempt: AttemptFacts): Record<string, string | string[]>;
   /** Returns the function that classifies an upstream's answer to a call by its head. */
-  judge(call: CallFacts): requests.ClassifyHead;
+  createHeadClassifier(call: CallFacts): requests.ClassifyHead;
   readAnswer(head: requests.AnswerHead): AnswerFacts;
 }
 
--- a/packages/gateway/src/retry-shares.ts
+++ b/packages/gateway/src/retry-shares.ts
@@ -52,7 +52,7 @@
   public find(service: string): requests.GrantingRetrySource {
     const own = this.findOwn(service);
     return {
-      noteRequest: () => own.noteRequest(),
+      recordRequest: () => own.recordRequest(),
       take: () => this.take(own, service),
       takeGranted: () => this.takeGranted(own, service),
     };
--- a/packages/gateway/src/routed-attempts.ts
+++ b/packages/gateway/src/routed-attempts.ts
@@ -140,7 +140,7 @@
     return client.open(
       attempt.picked.known,
       { method, path, headers, body, isRepeatable, signal: abort.signal },
-      wire.judge(call.facts),
+      wire.createHeadClassifier(call.facts),
     );
   }
 
--- a/packages/gateway/src/routed-flow.ts
+++ b/packages/gateway/src/routed-flow.ts
@@ -61,7 +61,7 @@
       resumes: 0,
       times: new streamTimes.StreamTimes(call.arrivedAt, call.route.name, clock, metrics),
     };
-    findBudget(call.service.name).noteRequest();
+    findBudget(call.service.name).recordRequest();
     const timer = setTimeout(
       () => abort.abort(createTimeoutRefusal(job.upstreamId !== undefined)),
       Math.max(0, call.endsAt - clock.now()),
@@ -147,7 +147,7 @@
         attempt: (picked) => this.attempts.attempt(job, picked),
         isFailure: (answer) =>
           answer.kind === 'whole' && answer.head.status >= routedAttempts.FIRST_FAILURE_STATUS,
-        noteFailure: (picked, failure) => this.attempts.noteFailure(job, picked, failure),
+        recordFailure: (picked, failure) => this.attempts.noteFailure(job, picked, failure),
       },
     );
   }
--- a/packages/gateway/src/upstream-directory.ts
+++ b/packages/gateway/src/upstream-directory.ts
@@ -174,7 +174,7 @@
    */
   public hasRestarted({ listed, upstreamId }: KnownUpstream): boolean {
     const entry = this.entries.get(upstreamId);
-    return entry !== undefined && schemas.isReborn(listed, entry.listed);
+    return entry !== undefined && schemas.hasRestarted(listed, entry.listed);
   }
 
   /** Records that another process has an upstream's address, so the upstream is gone permanently. */
@@ -197,7 +197,7 @@
 
   /** Creates an entry. The state of an earlier process under the same id is not carried over. */
   private createEntry(listed: schemas.ListedUpstream, known: Entry | undefined): Entry {
-    const hasRestarted = known !== undefined && schemas.isReborn(known.listed, listed);
+    const hasRestarted = known !== undefined && schemas.hasRestarted(known.listed, listed);
     if (hasRestarted) {
       this.log.info({ event: 'upstream-reborn', upstream: listed.upstreamId });
     }
--- a/packages/gateway/src/upstream-list-reader.ts
+++ b/packages/gateway/src/upstream-list-reader.ts
@@ -163,7 +163,7 @@
   const byId = new Map<string, schemas.ListedUpstream>();
   upstreams.forEach((item) => {
     const known = byId.get(item.upstreamId);
-    if (known === undefined || !schemas.isReborn(item, known)) {
+    if (known === undefined || !schemas.hasRestarted(item, known)) {
       byId.set(item.upstreamId, item);
     }
   });
--- a/packages/gateway/tests/placement-service.test.ts
+++ b/packages/gateway/tests/placement-service.test.ts
@@ -41,7 +41,7 @@
     isEvacuated: (zone) => state.evacuated.includes(zone),
     getEvacuationRevision: () => state.revision,
     coldBounds: { coldOverage: 1.5, coldSlack: 5 },
-    retryLimiter: { maxGrants: 1, maxGrantsForNewLeader: 1, windowMs: 1_000 },
+    retryGrantLimits: { maxGrants: 1, maxGrantsForNewLeader: 1, windowMs: 1_000 },
   });
   return { service, state };
 }
--- a/packages/gateway/tests/support/small-site.ts
+++ b/packages/gateway/tests/support/small-site.ts
@@ -51,7 +51,7 @@
 
   /** Starts an entry host and `coreCount` core hosts, the first three of which are the founders of the log. */
   public async start(coreCount: number): Promise<void> {
-    const held = await fakes.HeldPorts.take(1);
+    const held = await fakes.ReservedPorts.take(1);
     this.t.teardown(() => held.release());
     this.peerPort = held.list()[0]!;
     for (let i = 1; i <= coreCount; i += 1) {
--- a/packages/gateway/tests/support/test-wire.ts
+++ b/packages/gateway/tests/support/test-wire.ts
@@ -41,7 +41,7 @@
     };
   }
 
-  public judge(call: gateway.CallFacts): requests.ClassifyHead {
+  public createHeadClassifier(call: gateway.CallFacts): requests.ClassifyHead {
     return ({ headers }) => {
       if (headers['not-run'] !== undefined) {
         return headers['not-run'] === 'moved' ? 'moved' : 'not-run';
--- a/packages/intents/src/control-state.ts
+++ b/packages/intents/src/control-state.ts
@@ -168,7 +168,7 @@
 
   private applyRevision(
     changes: schemas.Change[],
-    claimSeats: schemas.ClaimSeat[] = this.configuration.claimSeats,
+    claimSeats: schemas.ClaimAcceptorSlot[] = this.configuration.claimSeats,
     claimFounders: string[] = this.configuration.claimFounders,
   ): void {
     const from = this.configuration.revision;
--- a/packages/intents/src/plan-lifecycle.ts
+++ b/packages/intents/src/plan-lifecycle.ts
@@ -3,7 +3,7 @@
 /** Events of a plan. */
 export type PlanEvent = 'confirm' | 'supersede' | 'expire';
 
-const TRANSITIONS: schemas.Moves<schemas.PlanStatus, PlanEvent> = {
+const TRANSITIONS: schemas.Transitions<schemas.PlanStatus, PlanEvent> = {
   planned: { confirm: 'confirmed', supersede: 'superseded', expire: 'expired' },
   confirmed: {},
   superseded: {},
--- a/packages/members/src/member-lifecycle.ts
+++ b/packages/members/src/member-lifecycle.ts
@@ -3,7 +3,7 @@
 /** Events of a member, as observed by its zone's relay: heartbeat received, heartbeats missed, leaving, dropped. */
 export type MemberEvent = 'hear' | 'miss' | 'leave' | 'drop';
 
-const TRANSITIONS: schemas.Moves<schemas.MemberState, MemberEvent> = {
+const TRANSITIONS: schemas.Transitions<schemas.MemberState, MemberEvent> = {
   live: { hear: 'live', miss: 'suspect', leave: 'leaving' },
   suspect: { hear: 'live', leave: 'leaving', drop: 'gone' },
   // A host that has announced its shutdown stays `leaving`, even if a delayed heartbeat reports otherwise.
--- a/packages/members/src/member-table.ts
+++ b/packages/members/src/member-table.ts
@@ -6,7 +6,7 @@
 const DROP_FACTOR = 3;
 
 interface MemberRecord {
-  beat: schemas.Beat;
+  beat: schemas.Heartbeat;
   lastHeartbeatAt: number;
   readonly lifecycle: schemas.Lifecycle<schemas.MemberState, memberLifecycle.MemberEvent>;
 }
@@ -21,7 +21,7 @@
   ) {}
 
   /** Handles a heartbeat. A heartbeat of an older incarnation is a delayed message and is ignored. */
-  public receive(beat: schemas.Beat): void {
+  public receive(beat: schemas.Heartbeat): void {
     const known = this.records.get(beat.daemonId);
     if (known !== undefined && beat.incarnation < known.beat.incarnation) {
       return;
@@ -76,7 +76,7 @@
   }
 
   /** The last heartbeat of a member, or `undefined` if it is not in the table. */
-  public find(daemonId: string): schemas.Beat | undefined {
+  public find(daemonId: string): schemas.Heartbeat | undefined {
     return this.records.get(daemonId)?.beat;
   }
 }
--- a/packages/members/src/sync-client.ts
+++ b/packages/members/src/sync-client.ts
@@ -24,7 +24,7 @@
 
 /** Options of `SyncClient`. */
 export interface SyncClientOptions {
-  readonly self: () => schemas.Beat;
+  readonly self: () => schemas.Heartbeat;
   readonly isVoter: boolean;
   /** Whether this host is the leader, which always has the latest revision. */
   readonly isLeader: () => boolean;
--- a/packages/members/src/zone-status.ts
+++ b/packages/members/src/zone-status.ts
@@ -8,14 +8,14 @@
   readonly availabilityZone: string;
   readonly relay: string;
   readonly silentMs: number;
-  readonly hosts: readonly schemas.Beat[];
+  readonly hosts: readonly schemas.Heartbeat[];
 }
 
 interface ZoneState {
   relay: string;
   incarnation: number;
   lastHeartbeatAt: number;
-  hosts: Map<string, schemas.Beat>;
+  hosts: Map<string, schemas.Heartbeat>;
 }
 
 /** The leader's status of all zones: their hosts, and the revision that is in force on each. */
@@ -45,7 +45,7 @@
   }
 
   /** Sets the beats of the leader's own zone, if the leader is its relay. */
-  public setOwnZone(relay: schemas.Beat, beats: readonly schemas.Beat[]): void {
+  public setOwnZone(relay: schemas.Heartbeat, beats: readonly schemas.Heartbeat[]): void {
     this.zones.set(relay.availabilityZone, {
       relay: relay.daemonId,
       incarnation: relay.incarnation,
--- a/packages/members/src/zone-view.ts
+++ b/packages/members/src/zone-view.ts
@@ -15,7 +15,7 @@
   private hasList = false;
 
   public constructor(
-    private readonly self: () => schemas.Beat,
+    private readonly self: () => schemas.Heartbeat,
     clock: schemas.Clock,
     suspectMs: number,
   ) {
@@ -49,7 +49,7 @@
   }
 
   /** Handles the heartbeats that a host reports. */
-  public receiveHeartbeats(beats: readonly schemas.Beat[], from: string): void {
+  public receiveHeartbeats(beats: readonly schemas.Heartbeat[], from: string): void {
     beats.forEach((beat) => this.table.receive(beat));
     this.table.refresh([from]);
     this.refresh();
@@ -88,7 +88,7 @@
   }
 
   /** The heartbeats that this host has received itself, its own first. */
-  public listHeartbeats(): schemas.Beat[] {
+  public listHeartbeats(): schemas.Heartbeat[] {
     const own = this.self();
     const others = this.table
       .list()
--- a/packages/members/tests/members.test.ts
+++ b/packages/members/tests/members.test.ts
@@ -5,7 +5,7 @@
 const HEARTBEAT_MS = 1_000;
 
 interface Host {
-  readonly beat: schemas.Beat;
+  readonly beat: schemas.Heartbeat;
   readonly store: members.ConfigurationStore;
   readonly view: members.ZoneView;
   readonly server: members.SyncServer;
@@ -29,7 +29,7 @@
   }
 
   public start(daemonId: string, availabilityZone: string, incarnation: number): void {
-    const beat: schemas.Beat = {
+    const beat: schemas.Heartbeat = {
       ...this.createAddress(daemonId, availabilityZone),
       incarnation,
       callerPort: 1,
--- a/packages/peers/src/peer-mesh.ts
+++ b/packages/peers/src/peer-mesh.ts
@@ -12,7 +12,7 @@
 >;
 
 /** Address on which a peer listens. */
-export interface PeerPlace {
+export interface PeerAddress {
   readonly host: string;
   readonly peerPort: number;
 }
@@ -37,7 +37,7 @@
   public constructor(private readonly options: PeerMeshOptions) {}
 
   /** Returns the client of a peer; a client for another address is closed and replaced. */
-  public getAt(daemonId: string, { host, peerPort }: PeerPlace): PeerApi<TRouter> {
+  public getAt(daemonId: string, { host, peerPort }: PeerAddress): PeerApi<TRouter> {
     const address = `${host}:${peerPort}`;
     const existing = this.links.get(daemonId);
     if (existing?.address === address) {
--- a/packages/requests/src/call-registry.ts
+++ b/packages/requests/src/call-registry.ts
@@ -8,14 +8,14 @@
 const MAX_STORED_BYTES = 32 * 1024 * 1024;
 
 /** The response of a plain service, as it is kept for a resend. */
-export const keptAnswer = z.object({
+export const storedResponse = z.object({
   status: z.int(),
   headers: z.record(z.string(), z.string()),
   body: z.custom<Uint8Array>((value) => value instanceof Uint8Array),
 });
 
 /** The response of a plain service, as it is kept for a resend. */
-export type KeptAnswer = z.infer<typeof keptAnswer>;
+export type StoredResponse = z.infer<typeof storedResponse>;
 
 /** The state of a call at the daemon that claimed it. */
 export const callState = z.discriminatedUnion('state', [
@@ -23,7 +23,7 @@
   z.object({ state: z.literal('dispatched') }),
   z.object({ state: z.literal('not-run') }),
   z.object({ state: z.literal('lost') }),
-  z.object({ state: z.literal('done'), answer: keptAnswer }),
+  z.object({ state: z.literal('done'), answer: storedResponse }),
 ]);
 
 /** The state of a call at the daemon that claimed it. */
--- a/packages/requests/src/claim-acceptor.ts
+++ b/packages/requests/src/claim-acceptor.ts
@@ -35,7 +35,7 @@
  * previous holder.
  */
 export class ClaimAcceptor {
-  private slots: readonly schemas.ClaimSeat[] = [];
+  private slots: readonly schemas.ClaimAcceptorSlot[] = [];
   private epochs: types.AcceptorEpoch[] = [];
   private slot = -1;
   private complete = false;
@@ -45,7 +45,7 @@
   public constructor(private readonly options: ClaimAcceptorOptions) {}
 
   /** Applies the slots in force and starts recovery when this daemon was assigned one. */
-  public configure(slots: readonly schemas.ClaimSeat[], founders: readonly string[]): void {
+  public configure(slots: readonly schemas.ClaimAcceptorSlot[], founders: readonly string[]): void {
     const { daemonId, incarnation } = this.options;
     const slot = slots.findIndex((item) => item.daemonId === daemonId);
     const isNew = slot >= 0 && slots[slot]?.since !== this.slots[this.slot]?.since;
@@ -135,7 +135,7 @@
     this.records.set(record.key, { ...record, sequence: this.sequence });
   }
 
-  private isFoundingGroup(slots: readonly schemas.ClaimSeat[]): boolean {
+  private isFoundingGroup(slots: readonly schemas.ClaimAcceptorSlot[]): boolean {
     return slots.length > 0 && slots.every((item) => item.since === slots[0]?.since);
   }
 
--- a/packages/requests/src/claim-proposer.ts
+++ b/packages/requests/src/claim-proposer.ts
@@ -17,7 +17,7 @@
   readonly transport: types.ClaimTransport;
   readonly clock: schemas.Clock;
   readonly random: () => number;
-  readonly getAcceptors: () => readonly schemas.ClaimSeat[];
+  readonly getAcceptors: () => readonly schemas.ClaimAcceptorSlot[];
 }
 
 /** The combined responses of the acceptors in one phase. */
--- a/packages/requests/src/request-lifecycle.ts
+++ b/packages/requests/src/request-lifecycle.ts
@@ -15,7 +15,7 @@
 export type RequestEvent =
   'grant' | 'dispatch' | 'stream' | 'retry' | 'complete' | 'break' | 'refuse' | 'doubt';
 
-const TRANSITIONS: schemas.Moves<RequestState, RequestEvent> = {
+const TRANSITIONS: schemas.Transitions<RequestState, RequestEvent> = {
   received: { grant: 'granted', refuse: 'not-run' },
   granted: { dispatch: 'dispatched', refuse: 'not-run', retry: 'received' },
   // Returns to an earlier state only if the upstream reported that the call did not run, or could not be reached.
--- a/packages/requests/src/retry-budget.ts
+++ b/packages/requests/src/retry-budget.ts
@@ -16,7 +16,7 @@
 /** A source of retries. */
 export interface RetrySource {
   /** Counts the first attempt of a request. */
-  noteRequest(): void;
+  recordRequest(): void;
   /** Takes one retry; false when none is available. */
   take(): boolean | Promise<boolean>;
 }
@@ -47,7 +47,7 @@
   }
 
   /** Counts the first attempt of a request. */
-  public noteRequest(): void {
+  public recordRequest(): void {
     this.tokens = Math.min(this.allowance.maxSaved, this.tokens + this.allowance.perRequest);
   }
 
--- a/packages/requests/src/run-attempts.ts
+++ b/packages/requests/src/run-attempts.ts
@@ -32,7 +32,7 @@
   /** Returns whether a response reports a failure of the upstream itself, so that another upstream may succeed. */
   isFailure(answer: A): boolean;
   /** Called for each attempt that ended in an error. */
-  noteFailure(upstream: U, failure: upstreamErrors.UpstreamError): void;
+  recordFailure(upstream: U, failure: upstreamErrors.UpstreamError): void;
 }
 
 /** The attempts of one call and their results. */
@@ -102,7 +102,7 @@
     // An attempt that was aborted on this side is not a failure of the upstream.
     this.rules.signal?.throwIfAborted();
     const failure = upstreamErrors.createUpstreamError(err, 'attempt', upstream.upstreamId);
-    this.operations.noteFailure(upstream, failure);
+    this.operations.recordFailure(upstream, failure);
     this.sends += 1;
     this.runs += failure.kind === 'lost' ? 1 : 0;
     const mayRetry = failure.kind === 'lost' ? this.mayRunAgain() : this.sends < MAX_SENDS;
--- a/packages/requests/src/service-client.ts
+++ b/packages/requests/src/service-client.ts
@@ -35,7 +35,7 @@
   public async send(
     upstream: schemas.Upstream,
     call: ServiceCall,
-  ): Promise<callRegistries.KeptAnswer> {
+  ): Promise<callRegistries.StoredResponse> {
     const { upstreamId, url } = upstream;
     const target = { upstreamId, url: new URL(url).origin };
     const signal = AbortSignal.timeout(this.limits.answerMs);
--- a/packages/requests/tests/run-attempts.test.ts
+++ b/packages/requests/tests/run-attempts.test.ts
@@ -35,7 +35,7 @@
         return Promise.reject(new requests.UpstreamError(kind, 'test', upstreamId));
       },
       isFailure: () => false,
-      noteFailure: () => {},
+      recordFailure: () => {},
     });
   } catch (err) {
     const { outcome, status } = (err as schemas.Refusal).options;
@@ -89,7 +89,7 @@
             return Promise.resolve(500);
           },
           isFailure: (status) => status === 500,
-          noteFailure: () => {},
+          recordFailure: () => {},
         },
       );
       return sends;
--- a/packages/requests/tests/support/claim-group.ts
+++ b/packages/requests/tests/support/claim-group.ts
@@ -16,7 +16,7 @@
 export class ClaimGroup {
   public readonly clock = new schemas.VirtualClock();
   public readonly hosts = new Map<string, Host>();
-  public slots: schemas.ClaimSeat[];
+  public slots: schemas.ClaimAcceptorSlot[];
   public lossRate = 0;
   public maxDelayMs = 4;
   private readonly founders: string[];
--- a/packages/routing/src/fallback-choice.ts
+++ b/packages/routing/src/fallback-choice.ts
@@ -4,7 +4,7 @@
   /** Number of generations that this daemon runs there now. */
   readonly outstanding: number;
   /** Estimated share of the upstream's memory in use, 0 to 1. */
-  readonly reportedShare: number;
+  readonly estimatedShare: number;
 }
 
 /**
@@ -21,7 +21,7 @@
   candidates: readonly FallbackCandidate[],
   random: () => number,
 ): FallbackCandidate | undefined {
-  const usable = candidates.filter((item) => item.reportedShare < MAX_MEMORY_SHARE);
+  const usable = candidates.filter((item) => item.estimatedShare < MAX_MEMORY_SHARE);
   if (usable.length === 0) {
     return undefined;
   }
@@ -31,5 +31,5 @@
 }
 
 function getLoad(candidate: FallbackCandidate): number {
-  return candidate.outstanding * 0.1 + candidate.reportedShare;
+  return candidate.outstanding * 0.1 + candidate.estimatedShare;
 }
--- a/packages/schemas/src/control.ts
+++ b/packages/schemas/src/control.ts
@@ -36,16 +36,16 @@
 export type Plan = z.infer<typeof plan>;
 
 /** The daemon that is a claim acceptor, and the revision since which it is. */
-export const claimSeat = z.object({ daemonId: z.string(), since: z.int() });
+export const claimAcceptorSlot = z.object({ daemonId: z.string(), since: z.int() });
 
 /** The daemon that is a claim acceptor. */
-export type ClaimSeat = z.infer<typeof claimSeat>;
+export type ClaimAcceptorSlot = z.infer<typeof claimAcceptorSlot>;
 
 /** The configuration in force: the declaration and the state that the system maintains with it. */
 export const configuration = z.object({
   revision: z.int(),
   declaration: declarations.declaration,
-  claimSeats: z.array(claimSeat),
+  claimSeats: z.array(claimAcceptorSlot),
   /** `daemonId@incarnation` of the first acceptors of the claim group, which have no earlier claims to recover. */
   claimFounders: z.array(z.string()),
   /** For each team, the revision at which availability zones were last removed from it. */
@@ -60,7 +60,7 @@
   from: z.int(),
   to: z.int(),
   changes: z.array(change),
-  claimSeats: z.array(claimSeat),
+  claimSeats: z.array(claimAcceptorSlot),
   claimFounders: z.array(z.string()),
 });
 
--- a/packages/schemas/src/lifecycle.ts
+++ b/packages/schemas/src/lifecycle.ts
@@ -3,7 +3,7 @@
 import * as stepError from './step-error.js';
 
 /** Transition table: for each state, the next state by event. */
-export type Moves<S extends string, E extends string> = Readonly<
+export type Transitions<S extends string, E extends string> = Readonly<
   Record<S, Readonly<Partial<Record<E, S>>>>
 >;
 
@@ -12,7 +12,7 @@
   private readonly service: robot.Service<robot.Machine>;
 
   public constructor(
-    private readonly moves: Moves<S, E>,
+    private readonly moves: Transitions<S, E>,
     initial: S,
   ) {
     const states = Object.fromEntries(
--- a/packages/schemas/src/listed-upstream.ts
+++ b/packages/schemas/src/listed-upstream.ts
@@ -25,7 +25,7 @@
 export type ListedUpstream = z.infer<typeof listedUpstream>;
 
 /** Returns whether an upstream has restarted under the same name between two entries of the list. */
-export function isReborn(former: ListedUpstream, listed: ListedUpstream): boolean {
+export function hasRestarted(former: ListedUpstream, listed: ListedUpstream): boolean {
   return (
     former.bornMs !== undefined && listed.bornMs !== undefined && listed.bornMs > former.bornMs
   );
--- a/packages/schemas/src/members.ts
+++ b/packages/schemas/src/members.ts
@@ -10,7 +10,7 @@
 export type MemberState = z.infer<typeof memberState>;
 
 /** A daemon's report about itself, sent with each heartbeat; a restarted process has a new incarnation. */
-export const beat = z.object({
+export const heartbeat = z.object({
   daemonId: z.string(),
   incarnation: z.number(),
   availabilityZone: z.string(),
@@ -22,10 +22,10 @@
 });
 
 /** A daemon's report about itself, sent with each heartbeat. */
-export type Beat = z.infer<typeof beat>;
+export type Heartbeat = z.infer<typeof heartbeat>;
 
 /** A daemon in the directory of a zone. */
-export const member = beat.extend({ state: memberState });
+export const member = heartbeat.extend({ state: memberState });
 
 /** A daemon in the directory of a zone. */
 export type Member = z.infer<typeof member>;
@@ -60,7 +60,7 @@
   incarnation: z.number(),
   availabilityZone: z.string(),
   /** Reports that changed since the receiver last answered; all of them after it set `needsBeats`. */
-  beats: z.array(beat),
+  beats: z.array(heartbeat),
   isWhole: z.boolean(),
   /** Daemons that the sender reported before and reports no longer. */
   dropped: z.array(z.string()),
--- a/packages/schemas/src/status.ts
+++ b/packages/schemas/src/status.ts
@@ -29,7 +29,7 @@
   leader: z.string(),
   term: z.int(),
   revision: z.int(),
-  claimSeats: z.array(control.claimSeat),
+  claimSeats: z.array(control.claimAcceptorSlot),
   voters: z.array(voterStatus),
   zones: z.array(zoneStatus),
   plans: z.array(control.plan),
--- a/packages/telemetry/src/call-trail.ts
+++ b/packages/telemetry/src/call-trail.ts
@@ -74,7 +74,7 @@
   const line = findDecision(own, 'refuse');
   return (
     line &&
-    `refused upon its head with status ${String(line.status)}: ${String(line.reason)}` +
+    `refused from its head with status ${String(line.status)}: ${String(line.reason)}` +
       ` (configuration ${String(line.version)}, host ${String(line.host)}); it did not run`
   );
 }
--- a/packages/telemetry/src/metric-sink.ts
+++ b/packages/telemetry/src/metric-sink.ts
@@ -10,7 +10,7 @@
   /** Records a duration, in milliseconds. */
   time(id: metricCatalogs.MetricId, ms: number, labels?: Labels): void;
   /** Registers a gauge whose value is read whenever metrics are collected. */
-  watch(id: metricCatalogs.MetricId, read: () => number): void;
+  registerGauge(id: metricCatalogs.MetricId, read: () => number): void;
 }
 
 /** Discards all metrics. */
@@ -19,5 +19,5 @@
 
   public time(): void {}
 
-  public watch(): void {}
+  public registerGauge(): void {}
 }
--- a/packages/telemetry/src/statsd-metrics.ts
+++ b/packages/telemetry/src/statsd-metrics.ts
@@ -43,7 +43,7 @@
   }
 
   /** Registers a gauge whose value is read and sent periodically. */
-  public watch(id: metricCatalogs.MetricId, read: () => number): void {
+  public registerGauge(id: metricCatalogs.MetricId, read: () => number): void {
     this.gauges.set(id, read);
   }
 
--- a/packages/telemetry/src/text-metrics.ts
+++ b/packages/telemetry/src/text-metrics.ts
@@ -43,7 +43,7 @@
   }
 
   /** Registers a gauge whose value is read whenever the text is rendered. */
-  public watch(id: metricCatalogs.MetricId, read: () => number): void {
+  public registerGauge(id: metricCatalogs.MetricId, read: () => number): void {
     const { help, name } = metricCatalogs.METRICS[id];
     const gauge: promClient.Gauge = new promClient.Gauge({
       name: NAME_PREFIX + name,
--- a/packages/telemetry/tests/call-trail.test.ts
+++ b/packages/telemetry/tests/call-trail.test.ts
@@ -20,7 +20,7 @@
 void tap.default.test('each kind of failure is explained by its cause', async (t) => {
   const cases = [
     {
-      name: 'refused upon its head',
+      name: 'refused from its head',
       lines: [{ decision: 'refuse', request: 'c1', reason: 'teamKey', status: 401, version: 7 }],
       cause: /status 401: teamKey \(configuration 7/,
     },
--- a/packages/telemetry/tests/text-metrics.test.ts
+++ b/packages/telemetry/tests/text-metrics.test.ts
@@ -7,7 +7,7 @@
   metrics.count('calls', { route: 'r1', outcome: 'complete', reason: 'none' });
   metrics.time('callMs', 42, { route: 'r1' });
   let level = 1;
-  metrics.watch('activeCalls', () => level);
+  metrics.registerGauge('activeCalls', () => level);
   level = 7;
   const text = await metrics.render();
   t.match(
