--- a/packages/daemon/tests/support/small-deployment.ts
+++ b/packages/daemon/tests/support/small-deployment.ts
@@ -57,7 +57,7 @@
   public readonly platform = new fakes.FakePlatform(LIST_LAG_MS);
   public upstreams: schemas.Upstream[] = [];
   private folder = '';
-  private heldPorts: fakes.ReservedPorts | undefined;
+  private reservedPorts: fakes.ReservedPorts | undefined;
 
   public constructor(
     private readonly zones: readonly string[],
@@ -293,8 +293,8 @@
 
   private async createEntries(): Promise<schemas.DaemonEntry[]> {
     const count = this.zones.length * this.daemonsPerZone;
-    this.heldPorts = await fakes.ReservedPorts.take(2 * count);
-    const ports = this.heldPorts.list();
+    this.reservedPorts = await fakes.ReservedPorts.take(2 * count);
+    const ports = this.reservedPorts.list();
     return Array.from({ length: count }, (_, i) => {
       const availabilityZone = this.zones[i % this.zones.length]!;
       return {
@@ -313,7 +313,7 @@
     this.engines.forEach((engine) => engine.kill());
     this.services.forEach((service) => service.kill());
     this.platform.kill();
-    this.heldPorts?.release();
+    this.reservedPorts?.release();
     await pause(50);
     fs.rmSync(this.folder, { recursive: true, force: true });
   }
